--- a/packages/gateway/src/backoff.ts
+++ b/packages/gateway/src/backoff.ts
@@ -1,27 +1,28 @@
 /**
- * Growing pauses between calls to a store that fails. Each refused call has its price, and a fleet that asks several times a
- * second all through an outage overruns the store when it comes back; a second of pause costs nobody a deadline.
+ * Exponential pauses between calls to a failing store. Every rejected call costs the store work, and a fleet that
+ * retries several times a second throughout an outage overloads the store when it recovers. A pause of a second is too
+ * short for a request to miss its deadline.
  */
 export class Backoff {
-    private pause: number;
+    private pauseMilliseconds: number;
 
-    /** Pauses double from the first to the longest, in milliseconds. */
+    /** Pauses double from the first to the longest. */
     constructor(
-        private readonly first: number,
-        private readonly longest: number,
+        private readonly firstMilliseconds: number,
+        private readonly longestMilliseconds: number,
     ) {
-        this.pause = first;
+        this.pauseMilliseconds = firstMilliseconds;
     }
 
     /** The pause before the next call, in milliseconds. */
     next(): number {
-        const pause = this.pause;
-        this.pause = Math.min(this.longest, pause * 2);
-        return pause;
+        const current = this.pauseMilliseconds;
+        this.pauseMilliseconds = Math.min(this.longestMilliseconds, current * 2);
+        return current;
     }
 
-    /** A call succeeded. */
+    /** Resets the pause after a successful call. */
     reset(): void {
-        this.pause = this.first;
+        this.pauseMilliseconds = this.firstMilliseconds;
     }
 }
--- a/packages/gateway/src/catchUpPolicy.ts
+++ b/packages/gateway/src/catchUpPolicy.ts
@@ -2,123 +2,134 @@
 import type * as protocol from "@boragedale/protocol";
 import type * as fleetView from "./fleetView.js";
 import type * as types from "./types.js";
-import * as watchDuty from "./watchDuty.js";
+import * as watchAssignment from "./watchDuty.js";
 
-/** A peer that is ahead is asked at most this often: its update may be on its way. */
-const PauseMilliseconds = 900;
-/** A peer that was asked in vain is left aside for this long. */
-const UnhelpfulMilliseconds = 3_000;
-/** Time after a change during which copies of members may be at different revisions. */
-const ChangingMilliseconds = 10_000;
+/**
+ * Minimum interval between requests for missing entries, since the update of a peer that is ahead may already be in
+ * transit.
+ */
+const RequestIntervalMilliseconds = 900;
+/** A peer whose answer did not bring this member up to date is not asked again for this time. */
+const UnhelpfulPeerMilliseconds = 3_000;
+/** Time after a change during which members' copies may be at different revisions. */
+const RecentChangeMilliseconds = 10_000;
 
-/** What a question for lacking entries led to. */
+/** Result of a request for missing entries. */
 export enum CatchUpOutcome {
-    /** The copy is as the peer's heartbeat told. */
+    /** The copy matches the peer's heartbeat. */
     Level = "Level",
-    /** A difference remains. */
+    /** The copy still differs from the peer's heartbeat. */
     Behind = "Behind",
-    /** There was no answer. */
+    /** The peer did not answer. */
     Failed = "Failed",
 }
 
 /**
- * Decides when a member asks which peer for registry entries that it lacks. Load: hundreds of members to which each change comes at
- * nearly the same time, and which would all ask for what is on its way. Harm prevented: answers by the hundred, and a member that
- * stays behind because the peer it asks can't answer. Pure but for the view and the duty that it reads.
+ * Decides when this member requests missing registry entries, and from which peer. Each change reaches hundreds of
+ * members at nearly the same time; if all of them requested what is already in transit, peers would send hundreds of
+ * answers. A member must also not stay behind because the peer that it asks cannot answer. Pure apart from reading the
+ * view and the watch assignment.
  */
 export class CatchUpPolicy {
-    private askedAt: core.MonotonicMilliseconds = -Infinity;
-    /** Peers that were asked and have not brought this member level, and when they were asked. */
-    private readonly unhelpful = new Map<core.InstanceId, core.MonotonicMilliseconds>();
+    private requestedAt: core.MonotonicMilliseconds = -Infinity;
+    /** Peers that were asked and have not brought this member up to date, with the time of the request. */
+    private readonly unhelpfulPeers = new Map<core.InstanceId, core.MonotonicMilliseconds>();
 
     constructor(
         private readonly view: fleetView.FleetView,
-        private readonly duty: watchDuty.WatchDuty,
+        private readonly assignment: watchAssignment.WatchDuty,
     ) {}
 
-    /** Whether what a heartbeat announces may come without a question, so that it is worth a wait. */
-    mayComeByItself(heartbeat: protocol.Heartbeat, now: core.MonotonicMilliseconds): boolean {
-        this.forgetUnhelpful(now);
+    /**
+     * Whether the entries that a heartbeat announces may arrive without a request, so that it is worth waiting for
+     * them.
+     */
+    mayArriveUnrequested(heartbeat: protocol.Heartbeat, now: core.MonotonicMilliseconds): boolean {
+        this.forgetUnhelpfulPeers(now);
         return (
-            this.duty.isLargeFleet() &&
+            this.assignment.isLargeFleet() &&
             heartbeat.isWatching === true &&
-            this.view.isWhole() &&
-            this.unhelpful.size === 0 &&
-            this.duty.isUpdated(now) &&
-            // Changes of upstreams come in their order: none that is on its way makes a difference at the same revision.
-            !this.lacksUpstream(heartbeat)
+            this.view.isComplete() &&
+            this.unhelpfulPeers.size === 0 &&
+            this.assignment.receivesUpdates(now) &&
+            // Changes of upstreams arrive in order, so a change in transit cannot cause a difference at the same
+            // revision.
+            !this.hasDifferentUpstreams(heartbeat)
         );
     }
 
-    /** Whether the sender of a heartbeat knows entries that this member lacks. */
+    /** Whether the sender of a heartbeat has entries that this member lacks. */
     isBehind(heartbeat: protocol.Heartbeat, now: core.MonotonicMilliseconds): boolean {
-        return this.tryGetLackedAfter(heartbeat, now) !== undefined;
+        return this.tryGetMissingAfter(heartbeat, now) !== undefined;
     }
 
-    /** Begins a question to the sender of a heartbeat, where it is to be asked now; returns the revision after which entries are lacking. */
+    /**
+     * Starts a request to the sender of a heartbeat if one is due now. Returns the revision after which entries are
+     * missing.
+     */
     tryBegin(
         peer: core.InstanceId,
         heartbeat: protocol.Heartbeat,
         now: core.MonotonicMilliseconds,
     ): types.Revision | undefined {
-        if (now - this.askedAt < PauseMilliseconds || !this.mayAsk(peer, heartbeat, now)) {
+        if (now - this.requestedAt < RequestIntervalMilliseconds || !this.mayRequest(peer, heartbeat, now)) {
             return undefined;
         }
-        const lacked = this.tryGetLackedAfter(heartbeat, now);
-        if (lacked !== undefined) {
-            this.askedAt = now;
-            this.unhelpful.set(peer, now);
+        const missingAfter = this.tryGetMissingAfter(heartbeat, now);
+        if (missingAfter !== undefined) {
+            this.requestedAt = now;
+            this.unhelpfulPeers.set(peer, now);
         }
-        return lacked;
+        return missingAfter;
     }
 
-    /** Notes what a question that was begun led to. */
+    /** Records the outcome of a request that `tryBegin` started. */
     end(peer: core.InstanceId, outcome: CatchUpOutcome): void {
         if (outcome === CatchUpOutcome.Level) {
-            this.unhelpful.delete(peer);
+            this.unhelpfulPeers.delete(peer);
         }
         else if (outcome === CatchUpOutcome.Failed) {
-            // The next heartbeat of another peer may be followed by a question at once.
-            this.askedAt = -Infinity;
+            // Allows a request to another peer as soon as its next heartbeat arrives.
+            this.requestedAt = -Infinity;
         }
     }
 
     /**
-     * A watching member has what the others have, earlier; asking each peer that is ahead would be an answer for each. Where one was
-     * asked in vain, any other peer will do: the links of a member all carry its heartbeats at the same moment, so the one that is heard
-     * first stays the first.
+     * Watching members receive changes before the others, so asking every peer that is ahead would only multiply the
+     * answers. After an unsuccessful request any other peer may be asked: heartbeats arrive over all links at the same
+     * moment, so the peer whose heartbeat arrives first would remain the first choice in every round.
      */
-    private mayAsk(peer: core.InstanceId, heartbeat: protocol.Heartbeat, now: core.MonotonicMilliseconds): boolean {
-        if (this.unhelpful.has(peer)) {
+    private mayRequest(peer: core.InstanceId, heartbeat: protocol.Heartbeat, now: core.MonotonicMilliseconds): boolean {
+        if (this.unhelpfulPeers.has(peer)) {
             return false;
         }
         return (
             heartbeat.isWatching === true ||
-            !this.duty.isLargeFleet() ||
-            this.unhelpful.size > 0 ||
-            this.duty.getUnheardMilliseconds(now) > watchDuty.HeardMilliseconds
+            !this.assignment.isLargeFleet() ||
+            this.unhelpfulPeers.size > 0 ||
+            this.assignment.getMillisecondsSinceHeartbeat(now) > watchAssignment.WatcherAliveMilliseconds
         );
     }
 
-    private forgetUnhelpful(now: core.MonotonicMilliseconds): void {
-        for (const [peer, at] of this.unhelpful) {
-            if (now - at > UnhelpfulMilliseconds) {
-                this.unhelpful.delete(peer);
+    private forgetUnhelpfulPeers(now: core.MonotonicMilliseconds): void {
+        for (const [peer, at] of this.unhelpfulPeers) {
+            if (now - at > UnhelpfulPeerMilliseconds) {
+                this.unhelpfulPeers.delete(peer);
             }
         }
     }
 
     /**
-     * The revision after which the peer may know entries that this member lacks; undefined where it knows none. The highest
-     * revision alone doesn't tell: a peer's watches bring changes out of their order. Asked for from the settled revision on, a
-     * late one comes along.
+     * The revision after which the peer may have entries that this member lacks; undefined if it has none. Comparing
+     * the highest revisions is not sufficient, because a peer's watches deliver changes out of order. A request that
+     * starts at the settled revision also covers a late change.
      */
-    private tryGetLackedAfter(
+    private tryGetMissingAfter(
         heartbeat: protocol.Heartbeat,
         now: core.MonotonicMilliseconds,
     ): types.Revision | undefined {
         const { view } = this;
-        if (!view.isWhole()) {
+        if (!view.isComplete()) {
             return heartbeat.generation > 0 ? 0 : undefined;
         }
         const settled = view.getSettledRevision(now);
@@ -126,34 +137,37 @@
         if (configuration > view.getConfigurationRevision()) {
             return Math.min(settled, configuration - 1);
         }
-        const upstreams = view.getUpstreamsMark();
+        const upstreams = view.getUpstreamsSummary();
         if ((heartbeat.upstreamsRevision ?? 0) > upstreams.revision) {
             return Math.min(settled, upstreams.revision);
         }
         const isAhead = heartbeat.generation > view.getRevision();
-        return isAhead || this.differs(heartbeat) ? settled : undefined;
+        return isAhead || this.hasDifferentEntries(heartbeat) ? settled : undefined;
     }
 
-    private differs(heartbeat: protocol.Heartbeat): boolean {
+    private hasDifferentEntries(heartbeat: protocol.Heartbeat): boolean {
         const { view } = this;
-        const whole = { revision: view.getRevision(), digest: view.getDigest() };
-        return isOther(heartbeat.generation, heartbeat.digest, whole) || this.lacksUpstream(heartbeat);
+        const all = { revision: view.getRevision(), digest: view.getDigest() };
+        return hasDifferentDigest(heartbeat.generation, heartbeat.digest, all) || this.hasDifferentUpstreams(heartbeat);
     }
 
-    private lacksUpstream(heartbeat: protocol.Heartbeat): boolean {
+    private hasDifferentUpstreams(heartbeat: protocol.Heartbeat): boolean {
         const { upstreamsRevision, upstreamsDigest } = heartbeat;
-        return isOther(upstreamsRevision, upstreamsDigest, this.view.getUpstreamsMark());
+        return hasDifferentDigest(upstreamsRevision, upstreamsDigest, this.view.getUpstreamsSummary());
     }
 }
 
-/** What a heartbeat tells of the sender's registry entries. Once nothing changes any more, one digest of all tells the same. */
+/**
+ * The registry fields of a heartbeat. When nothing has changed recently, the digest over all entries carries the same
+ * information as the separate revisions, which are then omitted.
+ */
 export function describeRegistry(
     view: fleetView.FleetView,
     isWatching: boolean,
     now: core.MonotonicMilliseconds,
 ): Omit<protocol.Heartbeat, "kind" | "logicalTime" | "state"> {
-    const upstreams = view.getUpstreamsMark();
-    const marks = {
+    const upstreams = view.getUpstreamsSummary();
+    const recentFields = {
         configurationRevision: view.getConfigurationRevision(),
         upstreamsRevision: upstreams.revision,
         upstreamsDigest: upstreams.digest,
@@ -162,15 +176,15 @@
         generation: view.getRevision(),
         digest: view.getDigest(),
         ...(isWatching ? { isWatching } : {}),
-        ...(now - view.getChangedAt() < ChangingMilliseconds ? marks : {}),
+        ...(now - view.getChangedAt() < RecentChangeMilliseconds ? recentFields : {}),
     };
 }
 
-/** Whether a peer's entries of the same highest revision are others than those that the mark stands for. */
-function isOther(
+/** Whether a peer has the same highest revision as the summary, but different entries. */
+function hasDifferentDigest(
     revision: types.Revision | undefined,
     digest: number | undefined,
-    mark: fleetView.RegistryMark,
+    summary: fleetView.RegistrySummary,
 ): boolean {
-    return revision === mark.revision && digest !== undefined && digest !== mark.digest;
+    return revision === summary.revision && digest !== undefined && digest !== summary.digest;
 }
--- a/packages/gateway/src/channelDirectory.ts
+++ b/packages/gateway/src/channelDirectory.ts
@@ -2,29 +2,34 @@
 import type * as types from "./types.js";
 import * as upstreamExchange from "./upstreamExchange.js";
 
-/** Time to connect: a new connection takes some milliseconds, a lost opening packet is sent again after a second. */
+/** Connecting takes a few milliseconds. A lost SYN packet is retransmitted after a second. */
 const ConnectTimeoutMilliseconds = 400;
-/** Connections one instance holds to one upstream: far over its slots, under its limit shared by all instances. */
-const ConnectionsToUpstream = 40;
-/** A channel that no entry names any more is given up after this, when its last streams have ended. */
-const UnusedMilliseconds = 30_000;
+/**
+ * Connections of one instance to one upstream: far above the upstream's slots, and below its limit, which all instances
+ * share.
+ */
+const ConnectionsPerUpstream = 40;
+/** A channel that is no longer requested is given up after this time, and closes when its last streams have ended. */
+const UnusedChannelMilliseconds = 30_000;
 
-interface KnownChannel {
+interface CachedChannel {
     readonly channel: upstreamExchange.UpstreamChannel;
     readonly identity: string;
     lastUsed: core.MonotonicMilliseconds;
 }
 
-/** Finds the connections to an upstream. */
+/** Provides the connections to an upstream. */
 export abstract class Channels {
     abstract get(upstream: types.UpstreamEntry): upstreamExchange.Channel;
-    /** Whether a kept connection to the upstream is free; makes none. */
+    /** Whether an open connection to the upstream is idle. Never opens one. */
     abstract hasIdleConnection(upstream: types.UpstreamEntry): boolean;
 }
 
-/** The channels to upstreams, made when first needed. An address that another life of an upstream has is another channel. */
+/**
+ * Creates the channels to upstreams on first use. An upstream that restarted at the same address gets a new channel.
+ */
 export class ChannelDirectory extends Channels implements AsyncDisposable {
-    private readonly channels = new Map<core.UpstreamId, KnownChannel>();
+    private readonly channels = new Map<core.UpstreamId, CachedChannel>();
 
     constructor(private readonly clock: core.Clock) {
         super();
@@ -43,7 +48,7 @@
         const channel = new upstreamExchange.UpstreamChannel({
             address: upstream.address,
             connectTimeoutMilliseconds: ConnectTimeoutMilliseconds,
-            connections: ConnectionsToUpstream,
+            connections: ConnectionsPerUpstream,
         });
         this.channels.set(upstream.id, { channel, identity, lastUsed: now });
         return channel;
@@ -62,7 +67,7 @@
 
     private closeUnused(now: core.MonotonicMilliseconds): void {
         for (const [id, known] of this.channels) {
-            if (now - known.lastUsed > UnusedMilliseconds) {
+            if (now - known.lastUsed > UnusedChannelMilliseconds) {
                 this.channels.delete(id);
                 known.channel.renew();
             }
--- a/packages/gateway/src/configurationRefresh.ts
+++ b/packages/gateway/src/configurationRefresh.ts
@@ -9,31 +9,31 @@
     readonly apply: (entries: readonly types.StoreEntry[]) => void;
 }
 
-/** Shortest time between two reads: requests that ask for one meanwhile share the last. */
-const PauseMilliseconds = 1_000;
-/** A caller waits at most this long for the store. */
-const WaitMilliseconds = 150;
+/** Minimum interval between two reads. Requests in between share the last one. */
+const MinimumIntervalMilliseconds = 1_000;
+/** Maximum time that a caller waits for the store. */
+const MaximumWaitMilliseconds = 150;
 
 /**
- * Reads the configuration from the store when a request needs a later one than is known. Load: any number of requests with wrong
- * keys. Harm prevented: a call of the store for each of them.
+ * Reads the configuration from the store when a request needs a later one than is known. The rate is limited, so that a
+ * flood of requests with wrong keys does not cause a store call for each of them.
  */
 export class ConfigurationRefresh {
     private startedAt: core.MonotonicMilliseconds = -Infinity;
-    private reading: Promise<void> = Promise.resolve();
+    private lastRead: Promise<void> = Promise.resolve();
 
     constructor(private readonly parts: ConfigurationRefreshParts) {}
 
-    /** Resolves when the last read has ended, or after a short time. */
+    /** Resolves when the last read has ended, or after a short timeout. */
     async refresh(): Promise<void> {
         const { clock } = this.parts;
-        if (clock.now() - this.startedAt >= PauseMilliseconds) {
+        if (clock.now() - this.startedAt >= MinimumIntervalMilliseconds) {
             this.startedAt = clock.now();
-            this.reading = this.read();
+            this.lastRead = this.read();
         }
-        const waited = new AbortController();
-        await Promise.race([this.reading, clock.sleep(WaitMilliseconds, waited.signal)]);
-        waited.abort();
+        const timeout = new AbortController();
+        await Promise.race([this.lastRead, clock.sleep(MaximumWaitMilliseconds, timeout.signal)]);
+        timeout.abort();
     }
 
     private async read(): Promise<void> {
--- a/packages/gateway/src/countedStore.ts
+++ b/packages/gateway/src/countedStore.ts
@@ -1,7 +1,7 @@
 import * as metadataStore from "./metadataStore.js";
 import type * as types from "./types.js";
 
-/** Kinds of call, as the metrics name them. */
+/** Kinds of calls. The values are the names in the metrics. */
 export enum StoreCall {
     Read = "read",
     List = "list",
@@ -12,15 +12,15 @@
     EndLease = "end-lease",
 }
 
-/** Outcome of a call that succeeded; others have the kind of their failure. */
+/** Outcome of a successful call. The outcome of a failed call is the kind of its failure. */
 export const DoneOutcome = "Done";
 
-/** Told of each call once it is over. */
+/** Called with each store call after it has ended. */
 export type StoreCallObserver = (call: StoreCall, purpose: string, outcome: string, milliseconds: number) => void;
 
 /**
- * Tells of each call to the metadata store what it was for: the store bounds and prices calls, and a rise is found by its
- * purpose.
+ * Reports the purpose, outcome and duration of each call to the metadata store. The store limits calls and charges for
+ * them, and the purpose shows the cause of an increase.
  */
 export class CountedStore extends metadataStore.MetadataStore {
     constructor(
@@ -32,21 +32,21 @@
     }
 
     override async read(key: string): Promise<metadataStore.StoreResult<types.StoreEntry | undefined>> {
-        return this.count(StoreCall.Read, key, this.inner.read(key));
+        return this.observeResult(StoreCall.Read, key, this.inner.read(key));
     }
 
     override async list(
         prefix: string,
         allowStale?: boolean,
     ): Promise<metadataStore.StoreResult<metadataStore.Listing>> {
-        return this.count(StoreCall.List, prefix, this.inner.list(prefix, allowStale));
+        return this.observeResult(StoreCall.List, prefix, this.inner.list(prefix, allowStale));
     }
 
     override async transact(
         transaction: metadataStore.Transaction,
     ): Promise<metadataStore.StoreResult<metadataStore.TransactionOutcome>> {
         const key = transaction.puts[0]?.key ?? transaction.deletes[0] ?? "";
-        return this.count(StoreCall.Transact, key, this.inner.transact(transaction));
+        return this.observeResult(StoreCall.Transact, key, this.inner.transact(transaction));
     }
 
     override async watch(
@@ -55,22 +55,22 @@
         waitMilliseconds: number,
         signal: AbortSignal,
     ): Promise<metadataStore.StoreResult<metadataStore.Listing>> {
-        return this.count(StoreCall.Watch, prefix, this.inner.watch(prefix, after, waitMilliseconds, signal));
+        return this.observeResult(StoreCall.Watch, prefix, this.inner.watch(prefix, after, waitMilliseconds, signal));
     }
 
     override async grantLease(milliseconds: number): Promise<metadataStore.StoreResult<string>> {
-        return this.count(StoreCall.GrantLease, "", this.inner.grantLease(milliseconds));
+        return this.observeResult(StoreCall.GrantLease, "", this.inner.grantLease(milliseconds));
     }
 
     override async renewLease(lease: string): Promise<metadataStore.StoreResult<void>> {
-        return this.count(StoreCall.RenewLease, "", this.inner.renewLease(lease));
+        return this.observeResult(StoreCall.RenewLease, "", this.inner.renewLease(lease));
     }
 
     override async endLease(lease: string): Promise<metadataStore.StoreResult<void>> {
-        return this.count(StoreCall.EndLease, "", this.inner.endLease(lease));
+        return this.observeResult(StoreCall.EndLease, "", this.inner.endLease(lease));
     }
 
-    private async count<T>(
+    private async observeResult<T>(
         call: StoreCall,
         key: string,
         result: Promise<metadataStore.StoreResult<T>>,
@@ -83,9 +83,12 @@
     }
 }
 
-/** Parts of a key that tell what it is for; what follows names one submission or member, and must not become a series. */
-const PurposeParts = 2;
+/**
+ * Number of leading key segments that identify the purpose. The rest names a single submission or member and must not
+ * become a metric series.
+ */
+const PurposeSegments = 2;
 
 function getPurpose(key: string): string {
-    return key.split("/").slice(0, PurposeParts).join("/");
+    return key.split("/").slice(0, PurposeSegments).join("/");
 }
--- a/packages/gateway/src/customerQuotas.ts
+++ b/packages/gateway/src/customerQuotas.ts
@@ -2,23 +2,28 @@
 import * as customers from "@boragedale/customers";
 import * as protocol from "@boragedale/protocol";
 import * as quotaAdmissions from "./quotaAdmissions.js";
-import type * as quotaKeepers from "./quotaKeepers.js";
+import type * as quotaOwners from "./quotaKeepers.js";
 import * as quotaReach from "./quotaReach.js";
 
-/** Time for a keeper to answer: some milliseconds of way, and whatever a busy loop adds. */
+/** Time for an owner to answer: a few milliseconds of network latency, plus the delay of a busy event loop. */
 const ClaimTimeoutMilliseconds = 120;
-/** A keeper whose connection closed or was refused is passed over for this long. */
-const GoneMilliseconds = 1_000;
-/** A keeper that gave no answer in time is not asked for this long: each request would wait for nothing. */
-const SilentMilliseconds = 500;
-/** A member whose question was refused refuses by itself for this long: a customer far over its limit would flood the keeper. */
-const HeldMilliseconds = 100;
+/** An owner whose connection was closed or refused is skipped for this time. */
+const DisconnectedOwnerMilliseconds = 1_000;
+/**
+ * An owner that did not answer in time is not asked for this time. Otherwise each request would wait for the timeout.
+ */
+const UnresponsiveOwnerMilliseconds = 500;
+/**
+ * After an owner rejects a claim, this member rejects further requests of the customer itself for this time. Otherwise
+ * a customer far above its limit would flood the owner.
+ */
+const LocalRejectionMilliseconds = 100;
 
 export interface CustomerQuotasParts {
     readonly self: core.InstanceId;
-    readonly keepers: quotaKeepers.QuotaKeepers;
+    readonly keepers: quotaOwners.QuotaKeepers;
     readonly network: protocol.PeerNetwork;
-    /** Undefined: no customers are configured. */
+    /** Undefined if no customers are configured. */
     readonly getCustomers: () => customers.CustomerDirectory | undefined;
     readonly clock: core.Clock;
     readonly terms: customers.QuotaTerms;
@@ -30,9 +35,9 @@
     /** The customer has no limit. */
     NoLimit = "NoLimit",
     Keeper = "Keeper",
-    /** The keeper refused a request of the customer a moment ago. */
+    /** The owner rejected a request of the customer a moment ago. */
     Held = "Held",
-    /** The keeper could not be reached: this member's own share. */
+    /** The owner could not be reached, and this member's own share of the limit applied. */
     Fallback = "Fallback",
 }
 
@@ -44,17 +49,20 @@
 }
 
 /**
- * Holds customers to their limits over all members: one keeper counts all requests of a customer and is asked before each. A member
- * that can't reach it falls back to its own share.
+ * Enforces customers' limits across all members. One owner counts all requests of a customer and is asked before each
+ * request runs. A member that cannot reach the owner falls back to its own share of the limit.
  */
 export class CustomerQuotas {
     private readonly ledger: customers.QuotaLedger;
     private readonly fallback: customers.QuotaFallback;
     private readonly admissions: quotaAdmissions.QuotaAdmissions;
-    private readonly goneUntil = new Map<core.InstanceId, core.MonotonicMilliseconds>();
-    private readonly silentUntil = new Map<core.InstanceId, core.MonotonicMilliseconds>();
-    /** By customer: until when requests are refused without asking, and when the last refused caller comes back. */
-    private readonly held = new Map<string, { readonly until: number; returnsAt: number }>();
+    private readonly disconnectedUntil = new Map<core.InstanceId, core.MonotonicMilliseconds>();
+    private readonly unresponsiveUntil = new Map<core.InstanceId, core.MonotonicMilliseconds>();
+    /**
+     * By customer: the time until which requests are rejected without asking, and the time at which the last rejected
+     * caller retries.
+     */
+    private readonly localRejections = new Map<string, { readonly until: number; returnsAt: number }>();
     private readonly reach: quotaReach.QuotaReach;
 
     constructor(private readonly parts: CustomerQuotasParts) {
@@ -70,7 +78,7 @@
         });
     }
 
-    /** Whether a request of the customer may run. */
+    /** Claims quota for one request of the customer, and returns whether the request may run. */
     async claim(customer: customers.Customer): Promise<QuotaDecision> {
         const { name, limit } = customer;
         if (limit === undefined) {
@@ -78,83 +86,86 @@
             return { customer: name, isGranted: true, retryAfterMilliseconds: 0, decider, keeper: undefined };
         }
         const decision =
-            this.tryHold(name, limit) ??
-            (await this.claimFromKeeper(name, limit)) ??
+            this.tryRejectLocally(name, limit) ??
+            (await this.claimFromOwner(name, limit)) ??
             this.claimFromFallback(name, limit);
         if (decision.isGranted) {
             this.admissions.record(name, decision.keeper, this.parts.clock.now());
         }
         else if (decision.decider === QuotaDecider.Keeper) {
-            this.hold(decision);
+            this.startLocalRejection(decision);
         }
         return decision;
     }
 
-    /** The request was granted, and no upstream ran it. */
+    /** Returns the quota of a granted request that no upstream ran. */
     giveBack(decision: QuotaDecision): void {
-        const { customer, keeper } = decision;
-        if (!decision.isGranted || keeper === undefined) {
+        const { customer, keeper: owner } = decision;
+        if (!decision.isGranted || owner === undefined) {
             return;
         }
-        this.admissions.forget(customer, keeper);
-        if (keeper === this.parts.self) {
+        this.admissions.removeLast(customer, owner);
+        if (owner === this.parts.self) {
             this.ledger.giveBack(customer, 1);
             return;
         }
         const message = { kind: protocol.MessageKind.QuotaReturn, customer, count: 1 } as const;
-        this.parts.network.notify(keeper, message, protocol.Lane.Control);
+        this.parts.network.notify(owner, message, protocol.Lane.Control);
     }
 
-    /** Customers of which this member keeps a count. */
+    /** Number of customers whose requests this member counts. */
     getAccountCount(): number {
         return this.ledger.getAccountCount();
     }
 
-    private hold({ customer, retryAfterMilliseconds }: QuotaDecision): void {
+    private startLocalRejection({ customer, retryAfterMilliseconds }: QuotaDecision): void {
         const now = this.parts.clock.now();
-        const until = now + Math.min(HeldMilliseconds, retryAfterMilliseconds);
-        this.held.set(customer, { until, returnsAt: now + retryAfterMilliseconds });
+        const until = now + Math.min(LocalRejectionMilliseconds, retryAfterMilliseconds);
+        this.localRejections.set(customer, { until, returnsAt: now + retryAfterMilliseconds });
     }
 
-    /** A refusal without asking, where the keeper has just refused; callers come back after the one that it refused. */
-    private tryHold(customer: string, limit: customers.RateLimit): QuotaDecision | undefined {
-        const held = this.held.get(customer);
+    /**
+     * Rejects a request without asking if the owner has just rejected one. Each rejected caller retries after the
+     * previous one.
+     */
+    private tryRejectLocally(customer: string, limit: customers.RateLimit): QuotaDecision | undefined {
+        const rejection = this.localRejections.get(customer);
         const now = this.parts.clock.now();
-        if (held === undefined || now >= held.until) {
-            this.held.delete(customer);
+        if (rejection === undefined || now >= rejection.until) {
+            this.localRejections.delete(customer);
             return undefined;
         }
-        held.returnsAt = Math.min(
+        rejection.returnsAt = Math.min(
             now + customers.LongestRetryMilliseconds,
-            held.returnsAt + 1_000 / limit.requestsPerSecond,
+            rejection.returnsAt + 1_000 / limit.requestsPerSecond,
         );
-        const retryAfterMilliseconds = held.returnsAt - now;
+        const retryAfterMilliseconds = rejection.returnsAt - now;
         return { isGranted: false, retryAfterMilliseconds, customer, decider: QuotaDecider.Held, keeper: undefined };
     }
 
-    /** Undefined where no keeper can be reached. */
-    private async claimFromKeeper(customer: string, limit: customers.RateLimit): Promise<QuotaDecision | undefined> {
+    /** Undefined if no owner can be reached. */
+    private async claimFromOwner(customer: string, limit: customers.RateLimit): Promise<QuotaDecision | undefined> {
         const decider = QuotaDecider.Keeper;
-        const { silent } = this.reach.get(false);
-        for (const keeper of this.parts.keepers.rank(customer, silent)) {
+        const { unresponsive } = this.reach.get(false);
+        for (const owner of this.parts.keepers.rank(customer, unresponsive)) {
             const now = this.parts.clock.now();
-            if (now < (this.goneUntil.get(keeper) ?? 0)) {
+            if (now < (this.disconnectedUntil.get(owner) ?? 0)) {
                 continue;
             }
-            if (now < (this.silentUntil.get(keeper) ?? 0)) {
+            if (now < (this.unresponsiveUntil.get(owner) ?? 0)) {
                 return undefined;
             }
-            const uncounted = this.admissions.countUncounted(customer, keeper, now);
-            if (keeper === this.parts.self) {
-                this.admissions.settle(customer, keeper);
-                return { ...this.count(customer, limit, uncounted), customer, decider, keeper };
+            const uncounted = this.admissions.countUncounted(customer, owner, now);
+            if (owner === this.parts.self) {
+                this.admissions.markCounted(customer, owner);
+                return { ...this.countRequest(customer, limit, uncounted), customer, decider, keeper: owner };
             }
-            const verdict = await this.ask(keeper, { customer, ...limit, uncounted });
+            const verdict = await this.requestClaim(owner, { customer, ...limit, uncounted });
             if (verdict !== undefined) {
-                this.admissions.settle(customer, keeper);
-                return { ...verdict, customer, decider, keeper };
+                this.admissions.markCounted(customer, owner);
+                return { ...verdict, customer, decider, keeper: owner };
             }
-            if (!this.goneUntil.has(keeper)) {
+            if (!this.disconnectedUntil.has(owner)) {
                 return undefined;
             }
         }
@@ -162,46 +173,53 @@
     }
 
     private claimFromFallback(customer: string, limit: customers.RateLimit): QuotaDecision {
-        const { clock, keepers } = this.parts;
+        const { clock, keepers: owners } = this.parts;
         const now = clock.now();
-        const { silent } = this.reach.get(false);
-        const hasEnded = keepers.rank(customer, silent).every(keeper => now < (this.goneUntil.get(keeper) ?? 0));
-        const claim = { customer, limit, memberCount: keepers.getMemberCount(), hasEnded };
+        const { unresponsive } = this.reach.get(false);
+        const haveAllDisconnected = owners
+            .rank(customer, unresponsive)
+            .every(owner => now < (this.disconnectedUntil.get(owner) ?? 0));
+        const claim = { customer, limit, memberCount: owners.getMemberCount(), hasEnded: haveAllDisconnected };
         const verdict = this.fallback.claim(claim, now);
         return { ...verdict, customer, decider: QuotaDecider.Fallback, keeper: undefined };
     }
 
-    private async ask(
-        keeper: core.InstanceId,
+    private async requestClaim(
+        owner: core.InstanceId,
         claim: Omit<protocol.QuotaClaim, "kind">,
     ): Promise<customers.QuotaVerdict | undefined> {
         const { network, clock } = this.parts;
-        const askedAt = clock.now();
+        const requestedAt = clock.now();
         const message = { kind: protocol.MessageKind.QuotaClaim, ...claim } as const;
         const options = { lane: protocol.Lane.Control, timeoutMilliseconds: ClaimTimeoutMilliseconds };
-        const reply = await network.request(keeper, message, options);
-        this.goneUntil.delete(keeper);
+        const reply = await network.request(owner, message, options);
+        this.disconnectedUntil.delete(owner);
         if (reply.ok && reply.message.kind === protocol.MessageKind.QuotaReply) {
             const { isGranted, retryAfterMilliseconds } = reply.message;
             return { isGranted, retryAfterMilliseconds };
         }
-        // A process that ended closes its connections and refuses new ones at once; one that is cut off or slow does neither.
-        const isGone = !reply.ok && clock.now() - askedAt < ClaimTimeoutMilliseconds / 2;
-        const until = isGone ? this.goneUntil : this.silentUntil;
-        until.set(keeper, clock.now() + (isGone ? GoneMilliseconds : SilentMilliseconds));
+        // A process that has ended closes its connections and refuses new ones immediately. One that is cut off or slow
+        // does neither.
+        const isDisconnected = !reply.ok && clock.now() - requestedAt < ClaimTimeoutMilliseconds / 2;
+        const until = isDisconnected ? this.disconnectedUntil : this.unresponsiveUntil;
+        until.set(
+            owner,
+            clock.now() + (isDisconnected ? DisconnectedOwnerMilliseconds : UnresponsiveOwnerMilliseconds),
+        );
         return undefined;
     }
 
     private serveClaim(message: protocol.QuotaClaim): protocol.Message {
         const { customer, uncounted, requestsPerSecond, burst } = message;
-        // The asker may have heard of a new customer, or of its first limit, before this member.
+        // The requester may know of a new customer, or of a customer's first limit, before this member does.
         const limit = this.parts.getCustomers()?.tryGet(customer)?.limit ?? { requestsPerSecond, burst };
-        return { kind: protocol.MessageKind.QuotaReply, ...this.count(customer, limit, uncounted) };
+        return { kind: protocol.MessageKind.QuotaReply, ...this.countRequest(customer, limit, uncounted) };
     }
 
-    private count(customer: string, limit: customers.RateLimit, uncounted: number): customers.QuotaVerdict {
-        // What a keeper before this one knew is lost with it, and the loss may be a moment old.
-        const { share, known } = this.reach.get(!this.ledger.hasAccount(customer));
+    private countRequest(customer: string, limit: customers.RateLimit, uncounted: number): customers.QuotaVerdict {
+        // The counts of a previous owner are lost with it. It may have been lost a moment ago, so a new account needs
+        // the current state.
+        const { reachableShare: share, knownShare: known } = this.reach.get(!this.ledger.hasAccount(customer));
         return this.ledger.claim({ customer, limit, uncounted, share, known }, this.parts.clock.now());
     }
 }
--- a/packages/gateway/src/fleetRegistry.ts
+++ b/packages/gateway/src/fleetRegistry.ts
@@ -9,30 +9,34 @@
 import * as registryRelay from "./registryRelay.js";
 import * as storeWatcher from "./storeWatcher.js";
 import type * as types from "./types.js";
-import * as watchDuty from "./watchDuty.js";
+import * as watchAssignment from "./watchDuty.js";
 import type * as wire from "./wire.js";
 
 /**
- * How long one watch waits. A connection that went silent is noticed by other calls, and the watches are then restarted; the wait
- * only bounds how often they are asked for nothing. Shorter than the store's history, or a watch that saw no change would end
- * with a whole listing.
+ * Duration of one watch call. A connection that went silent is noticed by other calls, which then have the watches
+ * restarted, so the duration only bounds how often unchanged prefixes are polled. It is shorter than the store's
+ * history; otherwise a watch without changes would end with a complete listing.
  */
-const WatchMilliseconds = 15_000;
+const WatchWaitMilliseconds = 15_000;
 /**
- * Longest time for which changes in a series are gathered: well under the two seconds in which a configuration must be in
- * force, half of those in which a leaving upstream must be left alone, a quarter of the lease after which a member is gone.
+ * Longest times for which consecutive changes are gathered. Configuration: well below the two seconds within which it
+ * must be in force. Upstreams: half of the two seconds within which a leaving upstream must no longer be used. Members:
+ * a quarter of the lease after which a member is removed.
  */
 const ConfigurationGatherMilliseconds = 600;
 const UpstreamGatherMilliseconds = 1_000;
 const MemberGatherMilliseconds = 1_000;
 /**
- * A member that starts with all others lists none of them, or only their former lives, and decides whether to watch when these
- * have registered.
+ * A member that starts together with all others finds none of them listed, or only their previous incarnations. It
+ * waits until they have registered before it decides whether to watch.
  */
-const StartMilliseconds = 700;
-/** Pause between two looks at the members of a large fleet: a start or a roll is a change every few milliseconds. */
-const MemberPauseMilliseconds = 250;
-const DutyMilliseconds = 250;
+const StartupDelayMilliseconds = 700;
+/**
+ * Pause between two watch calls for the members of a large fleet: a start or a rolling restart changes them every few
+ * milliseconds.
+ */
+const LargeFleetGatherMilliseconds = 250;
+const AssignmentCheckMilliseconds = 250;
 
 export interface FleetRegistryParts {
     readonly store: metadataStore.MetadataStore;
@@ -49,21 +53,21 @@
 }
 
 /**
- * Keeps this member's copy of configuration, upstreams and members: from the store's watches where it has the duty to watch,
- * else from the members that have.
+ * Keeps this member's copy of the configuration, upstreams and members up to date: from the store's watches if this
+ * member is assigned to watch, otherwise from the members that are.
  */
 export class FleetRegistry implements AsyncDisposable {
     readonly watchers: readonly storeWatcher.StoreWatcher[];
-    readonly duty: watchDuty.WatchDuty;
+    readonly duty: watchAssignment.WatchDuty;
     private readonly relay: registryRelay.RegistryRelay;
     private readonly fleetWatcher: storeWatcher.StoreWatcher;
     private readonly configurationRefresh: configurationRefresh.ConfigurationRefresh;
     private readonly stopper = new AbortController();
-    private reason: watchDuty.WatchReason | undefined;
+    private reason: watchAssignment.WatchReason | undefined;
 
     constructor(private readonly parts: FleetRegistryParts) {
         const { codec, view, members, network, clock, log } = parts;
-        this.duty = new watchDuty.WatchDuty(members, view, clock.now(), parts.random);
+        this.duty = new watchAssignment.WatchDuty(members, view, clock.now(), parts.random);
         this.relay = new registryRelay.RegistryRelay({
             view,
             network,
@@ -97,30 +101,33 @@
         return this.watchers.every(watcher => watcher.isCurrent());
     }
 
-    /** How old this member's copy may be, in milliseconds: the time since the store or a watching member was heard of. */
+    /**
+     * Maximum age of this member's copy: 0 while this member watches, otherwise the time since the last heartbeat of a
+     * watching member.
+     */
     getAge(): number {
-        return this.isWatching() ? 0 : this.duty.getUnheardMilliseconds(this.parts.clock.now());
+        return this.isWatching() ? 0 : this.duty.getMillisecondsSinceHeartbeat(this.parts.clock.now());
     }
 
-    /** Looks whether the store has a later configuration; how often is bounded. */
+    /** Checks the store for a later configuration, at a limited rate. */
     async refreshConfiguration(): Promise<void> {
         await this.configurationRefresh.refresh();
     }
 
-    /** The task: lists, then watches or follows until it is disposed. */
+    /** The background task: lists, then watches or follows until it is disposed. */
     async run(): Promise<void> {
         const { clock, members } = this.parts;
         const { signal } = this.stopper;
         this.watchers.forEach(watcher => void watcher.run());
         await this.whenListed;
         if (members.countOtherInstances() === 0 || this.duty.isLargeFleet()) {
-            await clock.sleep(MemberPauseMilliseconds, signal);
+            await clock.sleep(LargeFleetGatherMilliseconds, signal);
             this.fleetWatcher.setActive(true);
-            await clock.sleep(StartMilliseconds - MemberPauseMilliseconds, signal);
+            await clock.sleep(StartupDelayMilliseconds - LargeFleetGatherMilliseconds, signal);
         }
         while (!signal.aborted) {
-            this.reconsider();
-            await clock.sleep(DutyMilliseconds, signal);
+            this.updateAssignment();
+            await clock.sleep(AssignmentCheckMilliseconds, signal);
         }
     }
 
@@ -129,16 +136,16 @@
         await Promise.all(this.watchers.map(watcher => watcher[Symbol.asyncDispose]()));
     }
 
-    private reconsider(): void {
+    private updateAssignment(): void {
         const reason = this.duty.decide(this.parts.clock.now());
         if (reason === this.reason) {
             return;
         }
         const from = this.reason ?? "";
-        const unheard = this.duty.getUnheardMilliseconds(this.parts.clock.now());
+        const unheard = this.duty.getMillisecondsSinceHeartbeat(this.parts.clock.now());
         this.reason = reason;
         this.parts.log.note(gatewayLog.GatewayEvent.WatchDutyChanged, { from, to: reason, unheard });
-        this.watchers.forEach(watcher => watcher.setActive(reason !== watchDuty.WatchReason.Following));
+        this.watchers.forEach(watcher => watcher.setActive(reason !== watchAssignment.WatchReason.Following));
     }
 
     private createWatcher(prefix: string, longestGatherMilliseconds: number): storeWatcher.StoreWatcher {
@@ -147,9 +154,9 @@
             { store, clock, log },
             {
                 prefix,
-                waitMilliseconds: WatchMilliseconds,
+                waitMilliseconds: WatchWaitMilliseconds,
                 longestGatherMilliseconds,
-                getShortestGatherMilliseconds: () => this.getShortestGather(prefix),
+                getShortestGatherMilliseconds: () => this.getShortestGatherMilliseconds(prefix),
                 isActive: false,
                 onWatchBegun: () => this.parts.registration.renewEarly(),
                 applyListing: listing => this.publish(view.applyListing(prefix, listing, clock.now())),
@@ -158,8 +165,8 @@
         );
     }
 
-    private getShortestGather(prefix: string): number {
-        return prefix === memberDirectory.FleetPrefix && this.duty.isLargeFleet() ? MemberPauseMilliseconds : 0;
+    private getShortestGatherMilliseconds(prefix: string): number {
+        return prefix === memberDirectory.FleetPrefix && this.duty.isLargeFleet() ? LargeFleetGatherMilliseconds : 0;
     }
 
     private apply(entries: readonly types.StoreEntry[]): void {
--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -8,53 +8,61 @@
 import * as types from "./types.js";
 import type * as wire from "./wire.js";
 
-/** An upstream as it may be used now. */
+/** An upstream that may currently be used. */
 export interface KnownUpstream {
     readonly entry: types.UpstreamEntry;
     readonly revision: types.Revision;
-    /** Set where its entry vanished although it may live: until then it stays in use. */
+    /** Set if the entry was removed although the upstream may be alive. Until this time the upstream stays in use. */
     readonly heldUntil: core.MonotonicMilliseconds | undefined;
 }
 
-/** Tells views of the same prefix apart. */
-export interface RegistryMark {
-    /** The highest revision of an entry, removed ones included; of earlier ones some may be missing. */
+/** Summarizes the entries under a prefix, so that differing views can be told apart. */
+export interface RegistrySummary {
+    /** The highest revision of an entry, including removals. Entries with earlier revisions may be missing. */
     readonly revision: types.Revision;
-    /** A 32 bit sum over the entries that stand. */
+    /** A 32 bit sum over the existing entries. */
     readonly digest: number;
 }
 
 interface KnownEntry {
     entry: types.StoreEntry;
-    /** Decoded last; kept while the key is only held. */
+    /** The last decoded value. Kept while a removed entry is held. */
     upstream: types.UpstreamEntry | undefined;
     heldUntil: core.MonotonicMilliseconds | undefined;
 }
 
 /**
- * Time for which a vanished entry stays in use while the store is unreliable. Living upstreams are listed again within two
- * seconds of the store's return; without this, an outage in which leases run out would leave no upstream at all.
+ * Time for which a removed entry stays in use while the store is unreliable. Living upstreams are listed again within
+ * two seconds of the store's recovery. Without this, an outage in which leases expire would leave no upstream at all.
  */
 export const LapseHoldMilliseconds = 2_500;
-/** A failed store call makes removals doubtful for this long: the platform's bound for a store to count as stable. */
-const DoubtMilliseconds = 3_000;
 /**
- * Doubt after the first answer of a store that had failed. Living upstreams are back by then. An upstream that leaves after
- * the return must be left alone within two seconds: with the doubt counted from the last failure, a member that the store
- * had turned away went on sending to one for up to five.
+ * Time for which removals are suspect after a failed store call: the platform's bound for a store to count as stable.
+ */
+const SuspicionMilliseconds = 3_000;
+/**
+ * Time for which removals are suspect after the first answer of a store that had failed. Living upstreams are listed
+ * again by then. An upstream that leaves after the recovery must no longer be used after two seconds. If the time were
+ * counted from the last failure, a member whose calls the store had rejected would go on sending to that upstream for
+ * up to five.
+ */
+const RecoverySuspicionMilliseconds = 1_900;
+/**
+ * If at least this fraction of a service's upstreams is removed at once, their leases are taken to have expired;
+ * otherwise they have left.
  */
-const ReturnDoubtMilliseconds = 1_900;
-/** Fraction of a service's upstreams that vanish at once beyond which it is taken as a lapse, not as departures. */
 const MassRemovalFraction = 0.4;
 const MassRemovalWindowMilliseconds = 300;
-/** Hold of a mass removal with a store that looked sound; shorter than the bound for departed upstreams (2 s). */
+/**
+ * Time for which a mass removal is held if the store seemed healthy. Shorter than the bound for departed upstreams (2
+ * s).
+ */
 const MassRemovalHoldMilliseconds = 1_500;
 
 /**
- * What this instance believes of configuration and upstreams: a copy of the store's entries, those of the members among them,
- * merged by revision. The
- * same entry may come from a listing, a watch or a peer, in any order; the highest revision of a key wins, so that
- * nothing ever goes back. Pure: time is passed in.
+ * This instance's view of the configuration, upstreams and members: a copy of the store's entries, merged by revision.
+ * The same entry may come from a listing, a watch or a peer, in any order; the highest revision of a key wins, so that
+ * no entry reverts to an earlier state. Pure: time is passed in.
  */
 export class FleetView {
     private readonly entries = new Map<string, KnownEntry>();
@@ -63,20 +71,20 @@
     private customers: customers.CustomerDirectory | undefined;
     private revision: types.Revision = 0;
     private readonly settled = new settledRevision.SettledRevision();
-    private readonly marks = new Map<string, RegistryMark>();
+    private readonly summaries = new Map<string, RegistrySummary>();
     private changedAt: core.MonotonicMilliseconds = -Infinity;
-    private doubtUntil: core.MonotonicMilliseconds = -Infinity;
-    /** When the store answered again after it had failed; undefined while it fails. */
-    private returnedAt: core.MonotonicMilliseconds | undefined = -Infinity;
+    private suspectUntil: core.MonotonicMilliseconds = -Infinity;
+    /** When the store answered again after a failure; undefined while it fails. */
+    private recoveredAt: core.MonotonicMilliseconds | undefined = -Infinity;
     private readonly removals: {
         readonly service: string;
         readonly at: core.MonotonicMilliseconds;
         readonly key: string;
     }[] = [];
     private readonly listeners = new Set<() => void>();
-    /** Revisions of the whole listings, by prefix. */
+    /** Revisions of the complete listings, by prefix. */
     private readonly listedRevisions = new Map<string, types.Revision>();
-    private isWholeByPeer = false;
+    private isCompleteByPeer = false;
     private readonly prefixes: readonly string[];
 
     constructor(
@@ -94,58 +102,61 @@
         return this.routes;
     }
 
-    /** Undefined: no customers are configured. */
+    /** Undefined if no customers are configured. */
     getCustomers(): customers.CustomerDirectory | undefined {
         return this.customers;
     }
 
-    /** Whether a request's credentials are meant for the upstream: they are the gateway's own matter where customers are or were configured. */
+    /**
+     * Whether a request's credentials are forwarded to the upstream. If customers are or were configured, the
+     * credentials are meant for the gateway only.
+     */
     passesCredentials(customer: string | undefined): boolean {
         return customer === undefined && this.customers === undefined;
     }
 
-    /** Highest revision that this view has seen; of earlier ones some may be missing. */
+    /** Highest revision that this view has seen. Earlier ones may be missing. */
     getRevision(): types.Revision {
         return this.revision;
     }
 
-    /** The revision up to which nothing is missing here, as far as time tells. */
+    /** The revision up to which nothing is missing here, judging by the time that has passed. */
     getSettledRevision(now: core.MonotonicMilliseconds): types.Revision {
         return this.settled.get(now);
     }
 
     /**
-     * A 32 bit sum over the entries that stand. Views of the same highest revision may differ, since watches bring changes out
-     * of their order; then their digests do.
+     * A 32 bit sum over the existing entries. Views with the same highest revision may differ, since watches deliver
+     * changes out of order; their digests differ then.
      */
     getDigest(): number {
-        return [...this.marks.values()].reduce((sum, mark) => (sum + mark.digest) >>> 0, 0);
+        return [...this.summaries.values()].reduce((sum, summary) => (sum + summary.digest) >>> 0, 0);
     }
 
-    /** When an entry was changed last. */
+    /** When an entry last changed. */
     getChangedAt(): core.MonotonicMilliseconds {
         return this.changedAt;
     }
 
     getConfigurationRevision(): types.Revision {
-        return this.getMark(this.codec.configurationKey).revision;
+        return this.getSummary(this.codec.configurationKey).revision;
     }
 
-    getUpstreamsMark(): RegistryMark {
-        return this.getMark(this.codec.upstreamPrefix);
+    getUpstreamsSummary(): RegistrySummary {
+        return this.getSummary(this.codec.upstreamPrefix);
     }
 
     /**
-     * Whether everything that the store had was seen, here or at a peer. A notice of one late change raises the revision
-     * though all before it is missing.
+     * Whether all entries of the store have been received, here or by the peer that sent its copy. The revision does
+     * not show this: a notice of one late change raises it although everything before is missing.
      */
-    isWhole(): boolean {
-        return this.isWholeByPeer || this.tryGetListedRevision() !== undefined;
+    isComplete(): boolean {
+        return this.isCompleteByPeer || this.tryGetListedRevision() !== undefined;
     }
 
-    /** A peer that has seen everything sent all its entries. */
+    /** Records that a peer with a complete copy has sent all its entries. */
     noteWhole(): void {
-        this.isWholeByPeer = true;
+        this.isCompleteByPeer = true;
     }
 
     onChange(listener: () => void): void {
@@ -171,78 +182,82 @@
         return this.entries.get(this.codec.upstreamPrefix + id)?.upstream;
     }
 
-    /** Every entry with a value or a tombstone, for a peer that is behind. */
+    /** All entries after a revision, including tombstones, for a peer that is behind. */
     getEntriesAfter(revision: types.Revision): types.StoreEntry[] {
         return [...this.entries.values()].map(known => known.entry).filter(entry => entry.revision > revision);
     }
 
     /**
-     * The store failed, or answered out of time: entries that vanish now may belong to living upstreams. A call that began
-     * before the store's return and ends after it says nothing new.
+     * Records that a store call failed or timed out: entries that are removed now may belong to living upstreams. A
+     * call that began before the store's recovery and ends after it says nothing about the current state and is
+     * ignored.
      */
-    noteDoubt(now: core.MonotonicMilliseconds, startedAt = now): void {
-        if (this.returnedAt !== undefined && startedAt < this.returnedAt) {
+    noteStoreFailure(now: core.MonotonicMilliseconds, startedAt = now): void {
+        if (this.recoveredAt !== undefined && startedAt < this.recoveredAt) {
             return;
         }
-        this.returnedAt = undefined;
-        this.doubtUntil = Math.max(this.doubtUntil, now + DoubtMilliseconds);
-        // An outage may last longer than any hold that was given in it.
-        this.forEachHeld(now, known => (known.heldUntil = this.doubtUntil + LapseHoldMilliseconds));
+        this.recoveredAt = undefined;
+        this.suspectUntil = Math.max(this.suspectUntil, now + SuspicionMilliseconds);
+        // An outage may last longer than a hold that was set during it.
+        this.forEachHeld(now, known => (known.heldUntil = this.suspectUntil + LapseHoldMilliseconds));
     }
 
     /**
-     * The store answered; after a failure that is its return, from which on the time of living upstreams to be back runs.
-     * Returns whether it is.
+     * Records that the store answered. The first answer after a failure marks the store's recovery, from which the time
+     * for living upstreams to be listed again is counted. Returns whether this answer does.
      */
-    noteAnswered(now: core.MonotonicMilliseconds): boolean {
-        if (this.returnedAt !== undefined) {
+    noteStoreAnswer(now: core.MonotonicMilliseconds): boolean {
+        if (this.recoveredAt !== undefined) {
             return false;
         }
-        this.returnedAt = now;
-        this.doubtUntil = now + ReturnDoubtMilliseconds;
-        this.forEachHeld(now, known => (known.heldUntil = Math.min(known.heldUntil ?? Infinity, this.doubtUntil)));
+        this.recoveredAt = now;
+        this.suspectUntil = now + RecoverySuspicionMilliseconds;
+        this.forEachHeld(now, known => (known.heldUntil = Math.min(known.heldUntil ?? Infinity, this.suspectUntil)));
         return true;
     }
 
-    /** Learns from the end of a call whether the store is to be believed; returns whether it is the store's return. */
+    /**
+     * Updates the assumed state of the store after a call has ended. Returns whether the call marks the store's
+     * recovery.
+     */
     noteStoreCall(outcome: string, startedAt: core.MonotonicMilliseconds, now: core.MonotonicMilliseconds): boolean {
         switch (outcome) {
             case metadataStore.StoreFailureKind.NotDone:
             case metadataStore.StoreFailureKind.Unknown:
-                this.noteDoubt(now, startedAt);
+                this.noteStoreFailure(now, startedAt);
                 return false;
             case metadataStore.StoreFailureKind.BrokenOff:
                 return false;
             case metadataStore.StoreFailureKind.LeaseGone:
-                // The store answers, but has let leases run out, and not only this one.
-                this.noteDoubt(now);
-                return this.noteAnswered(now);
+                // The store answers, but has let leases expire, and not only this one.
+                this.noteStoreFailure(now);
+                return this.noteStoreAnswer(now);
             default:
-                return this.noteAnswered(now);
+                return this.noteStoreAnswer(now);
         }
     }
 
     /** When the store answered this member again after a failure; undefined while it fails. */
-    tryGetStoreReturn(): core.MonotonicMilliseconds | undefined {
-        return this.returnedAt;
+    tryGetStoreRecoveredAt(): core.MonotonicMilliseconds | undefined {
+        return this.recoveredAt;
     }
 
-    isDoubtful(now: core.MonotonicMilliseconds): boolean {
-        return now < this.doubtUntil;
+    isStoreSuspect(now: core.MonotonicMilliseconds): boolean {
+        return now < this.suspectUntil;
     }
 
-    /** Takes a whole listing: keys of the prefix that it lacks were removed at its revision or before. */
+    /** Applies a complete listing: known keys of the prefix that it lacks were removed at its revision or before. */
     applyListing(
         prefix: string,
         listing: { entries: readonly types.StoreEntry[]; revision: types.Revision },
         now: core.MonotonicMilliseconds,
     ): types.StoreEntry[] {
         this.listedRevisions.set(prefix, listing.revision);
-        this.settled.noteWhole(this.tryGetListedRevision() ?? 0);
+        this.settled.noteComplete(this.tryGetListedRevision() ?? 0);
         return this.apply([...listing.entries, ...this.findMissing(listing.entries, listing.revision, prefix)], now);
     }
 
-    /** Removals of the keys that stand here and that a whole copy as of a revision lacks. */
+    /** Removals of the known keys that a complete copy as of a revision lacks. */
     findMissing(entries: readonly types.StoreEntry[], revision: types.Revision, prefix = ""): types.StoreEntry[] {
         const present = new Set(entries.map(entry => entry.key));
         return [...this.entries.values()]
@@ -262,21 +277,21 @@
         return this.tryGetPrefix(key) !== undefined;
     }
 
-    /** Merges entries; returns those that were news, which peers may lack too. */
+    /** Merges entries. Returns those that changed the view, which peers may lack as well. */
     apply(entries: readonly types.StoreEntry[], now: core.MonotonicMilliseconds): types.StoreEntry[] {
-        const news = entries.filter(entry => this.applyOne(entry, now));
+        const changes = entries.filter(entry => this.applyEntry(entry, now));
         for (const entry of entries) {
             this.revision = Math.max(this.revision, entry.revision);
         }
         this.settled.note(this.revision, now);
-        if (news.length > 0) {
+        if (changes.length > 0) {
             this.changedAt = now;
             this.listeners.forEach(listener => listener());
         }
-        return news;
+        return changes;
     }
 
-    /** The revision up to which listings showed everything; undefined until there was one of each prefix. */
+    /** The revision up to which listings have shown everything; undefined until each prefix has been listed. */
     private tryGetListedRevision(): types.Revision | undefined {
         const revisions = this.prefixes.map(prefix => this.listedRevisions.get(prefix) ?? -1);
         return revisions.includes(-1) ? undefined : Math.min(...revisions);
@@ -289,8 +304,8 @@
         return this.prefixes.find(prefix => prefix !== this.codec.configurationKey && key.startsWith(prefix));
     }
 
-    private getMark(prefix: string): RegistryMark {
-        return this.marks.get(prefix) ?? { revision: 0, digest: 0 };
+    private getSummary(prefix: string): RegistrySummary {
+        return this.summaries.get(prefix) ?? { revision: 0, digest: 0 };
     }
 
     private forEachHeld(now: core.MonotonicMilliseconds, action: (known: KnownEntry) => void): void {
@@ -301,7 +316,7 @@
         }
     }
 
-    private applyOne(entry: types.StoreEntry, now: core.MonotonicMilliseconds): boolean {
+    private applyEntry(entry: types.StoreEntry, now: core.MonotonicMilliseconds): boolean {
         const known = this.entries.get(entry.key);
         if (known !== undefined && known.entry.revision >= entry.revision) {
             return false;
@@ -310,10 +325,10 @@
         if (prefix === undefined) {
             return false;
         }
-        const mark = this.getMark(prefix);
-        this.marks.set(prefix, {
-            revision: Math.max(mark.revision, entry.revision),
-            digest: (mark.digest - digestEntry(known?.entry) + digestEntry(entry)) >>> 0,
+        const summary = this.getSummary(prefix);
+        this.summaries.set(prefix, {
+            revision: Math.max(summary.revision, entry.revision),
+            digest: (summary.digest - digestEntry(known?.entry) + digestEntry(entry)) >>> 0,
         });
         if (entry.key === this.codec.configurationKey) {
             this.entries.set(entry.key, { entry, upstream: undefined, heldUntil: undefined });
@@ -337,7 +352,7 @@
         return true;
     }
 
-    /** Versions only rise: a configuration that a late peer or a restored store brings again is not taken. */
+    /** Versions only increase: an older configuration from a late peer or a restored store is ignored. */
     private applyConfiguration(entry: types.StoreEntry): void {
         if (entry.value === undefined) {
             return;
@@ -367,30 +382,32 @@
             this.entries.set(entry.key, { entry, upstream: undefined, heldUntil: undefined });
             return;
         }
-        const heldUntil = this.chooseHold(upstream.service, entry.key, now);
+        const heldUntil = this.chooseHeldUntil(upstream.service, entry.key, now);
         this.entries.set(entry.key, { entry, upstream, heldUntil });
     }
 
     /**
-     * An entry that vanishes while the store is sound names an upstream that left: it gets nothing more. While the store
-     * is doubtful, or when a good part of a service vanishes at once, leases have run out instead.
+     * A removal while the store is healthy means that the upstream has left, and it gets no more work. While the store
+     * is suspect, or if a large part of a service is removed at once, leases are taken to have expired instead, and the
+     * upstream is held.
      */
-    private chooseHold(service: string, key: string, now: core.MonotonicMilliseconds): core.MonotonicMilliseconds {
-        if (this.isDoubtful(now)) {
-            return this.returnedAt === undefined ? this.doubtUntil + LapseHoldMilliseconds : this.doubtUntil;
+    private chooseHeldUntil(service: string, key: string, now: core.MonotonicMilliseconds): core.MonotonicMilliseconds {
+        if (this.isStoreSuspect(now)) {
+            return this.recoveredAt === undefined ? this.suspectUntil + LapseHoldMilliseconds : this.suspectUntil;
         }
         while (this.removals.length > 0 && (this.removals[0]?.at ?? now) < now - MassRemovalWindowMilliseconds) {
             this.removals.shift();
         }
         this.removals.push({ service, at: now, key });
-        const vanished = this.removals.filter(removal => removal.service === service);
+        const recentRemovals = this.removals.filter(removal => removal.service === service);
         const remaining = this.getUsable(service, now).filter(upstream => upstream.heldUntil === undefined).length - 1;
-        const isMass =
-            vanished.length >= 3 && vanished.length >= MassRemovalFraction * (vanished.length + Math.max(0, remaining));
-        if (!isMass) {
+        const isMassRemoval =
+            recentRemovals.length >= 3 &&
+            recentRemovals.length >= MassRemovalFraction * (recentRemovals.length + Math.max(0, remaining));
+        if (!isMassRemoval) {
             return now;
         }
-        for (const removal of vanished) {
+        for (const removal of recentRemovals) {
             const known = this.entries.get(removal.key);
             if (known !== undefined && known.entry.value === undefined) {
                 known.heldUntil = now + MassRemovalHoldMilliseconds;
@@ -400,7 +417,10 @@
     }
 }
 
-/** What an entry adds to the digest; removed ones add nothing, since who lists later never hears of them. */
+/**
+ * An entry's contribution to the digest. Removed entries contribute nothing, since members that list the store later
+ * never see them.
+ */
 function digestEntry(entry: types.StoreEntry | undefined): number {
     return entry?.value === undefined ? 0 : decisions.hashText(`${entry.key}@${entry.revision}`);
 }
--- a/packages/gateway/src/homeDirectory.ts
+++ b/packages/gateway/src/homeDirectory.ts
@@ -5,12 +5,13 @@
 import type * as types from "./types.js";
 
 /**
- * Fleets with up to this many other members are fully meshed, and every member knows the use of every slot. In larger ones each
- * member stays linked to this many others, since messages to all grow with the square of the fleet.
+ * In fleets with up to this many other members, every member is linked to all others and knows the use of every slot.
+ * In larger fleets each member stays linked to this many others, because the number of messages to all members grows
+ * with the square of the fleet.
  */
 export const NeighbourCount = 15;
 
-/** The members that one stays linked to: some of the fleet, and those that watch the store for it. */
+/** The members that this one stays linked to: a subset of the fleet, and those that watch the store for it. */
 export function chooseNeighbours(
     members: memberDirectory.MemberDirectory,
     watchers: readonly core.InstanceId[],
@@ -23,72 +24,86 @@
     return [...new Set([...chosen, ...watchers.filter(id => id !== members.self.id)])];
 }
 
-/** Which member is the home of which engine: it says who may use the engine's places. */
+/** Determines which member coordinates which engine. The coordinator decides who may use the engine's slots. */
 export class HomeDirectory {
-    /** Worked out when first asked for after a change. */
-    private homes: ReadonlyMap<core.UpstreamId, core.InstanceId> | undefined;
-    private readonly lent = new Map<core.InstanceId, core.UpstreamId[]>();
+    /** Computed on first use after a change. */
+    private coordinators: ReadonlyMap<core.UpstreamId, core.InstanceId> | undefined;
+    private readonly enginesByCoordinator = new Map<core.InstanceId, core.UpstreamId[]>();
 
     constructor(
         private readonly members: memberDirectory.MemberDirectory,
         private readonly view: fleetView.FleetView,
         private readonly clock: core.Clock,
     ) {
-        members.onChange(() => (this.homes = undefined));
-        view.onChange(() => (this.homes = undefined));
+        members.onChange(() => (this.coordinators = undefined));
+        view.onChange(() => (this.coordinators = undefined));
     }
 
-    /** Whether the fleet is too large for everybody to hear of every place: then homes lend them. */
+    /**
+     * Whether the fleet is too large for every member to know the use of every slot, so that coordinators grant them.
+     */
     isLending(): boolean {
         return this.members.getOthers().length > NeighbourCount;
     }
 
-    /** Only engines are lent: a plain service answers in tens of milliseconds, of which asking first would be a part. */
-    isLent(service: string): boolean {
+    /**
+     * Whether the service's upstreams are engines. Only slots of engines are granted: a plain service answers in tens
+     * of milliseconds, and asking first would take a considerable part of that.
+     */
+    isEngineService(service: string): boolean {
         return this.view.getConfiguration()?.services.find(({ name }) => name === service)?.isEngine === true;
     }
 
-    /** `SelfInstance` for this member; undefined for an upstream that isn't known as an engine. */
-    tryGetHome(upstream: core.UpstreamId): core.InstanceId | undefined {
-        this.homes ??= this.assign();
-        const home = this.homes.get(upstream);
-        return home === this.members.self.id ? decisions.SelfInstance : home;
+    /** `SelfInstance` for this member; undefined for an upstream that is not known as an engine. */
+    tryGetCoordinator(upstream: core.UpstreamId): core.InstanceId | undefined {
+        this.coordinators ??= this.assign();
+        const coordinator = this.coordinators.get(upstream);
+        return coordinator === this.members.self.id ? decisions.SelfInstance : coordinator;
     }
 
-    /** The engines of a service that this member lends. */
-    getOwn(service: string): readonly types.UpstreamEntry[] {
+    /** The engines of a service that this member coordinates. */
+    getOwnEngines(service: string): readonly types.UpstreamEntry[] {
         return this.view
             .getUsable(service, this.clock.now())
             .map(known => known.entry)
-            .filter(entry => this.tryGetHome(entry.id) === decisions.SelfInstance);
+            .filter(entry => this.tryGetCoordinator(entry.id) === decisions.SelfInstance);
     }
 
-    /** Whether the member is home of any engine. */
-    isHome(member: core.InstanceId): boolean {
-        this.homes ??= this.assign();
-        return this.lent.has(member);
+    /** Whether the member coordinates any engine. */
+    isCoordinator(member: core.InstanceId): boolean {
+        this.coordinators ??= this.assign();
+        return this.enginesByCoordinator.has(member);
     }
 
-    /** The engines of a service that a member is home of, as far as known here. */
-    getLentBy(member: core.InstanceId, service: string): readonly core.UpstreamId[] {
-        this.homes ??= this.assign();
-        return (this.lent.get(member) ?? []).filter(id => this.view.tryGetUpstream(id)?.service === service);
+    /** The engines of a service that a member coordinates, as far as known here. */
+    getEnginesOf(member: core.InstanceId, service: string): readonly core.UpstreamId[] {
+        this.coordinators ??= this.assign();
+        return (this.enginesByCoordinator.get(member) ?? []).filter(
+            id => this.view.tryGetUpstream(id)?.service === service,
+        );
     }
 
-    isNear(home: core.InstanceId): boolean {
-        return this.members.tryGet(home)?.dataCentre === this.members.self.dataCentre;
+    isInSameDataCentre(coordinator: core.InstanceId): boolean {
+        return this.members.tryGet(coordinator)?.dataCentre === this.members.self.dataCentre;
     }
 
     private assign(): ReadonlyMap<core.UpstreamId, core.InstanceId> {
         const members = this.members.getMembers();
         const services = this.view.getConfiguration()?.services.filter(service => service.isEngine) ?? [];
-        const homes = new Map<core.UpstreamId, core.InstanceId>();
+        const assigned = new Map<core.UpstreamId, core.InstanceId>();
         for (const { name } of services) {
             const upstreams = this.view.getUsable(name, this.clock.now()).map(known => known.entry);
-            decisions.assignHomes(upstreams, members).forEach((home, upstream) => homes.set(upstream, home));
+            decisions
+                .assignHomes(upstreams, members)
+                .forEach((coordinator, upstream) => assigned.set(upstream, coordinator));
         }
-        this.lent.clear();
-        homes.forEach((home, upstream) => this.lent.set(home, [...(this.lent.get(home) ?? []), upstream]));
-        return homes;
+        this.enginesByCoordinator.clear();
+        assigned.forEach((coordinator, upstream) =>
+            this.enginesByCoordinator.set(coordinator, [
+                ...(this.enginesByCoordinator.get(coordinator) ?? []),
+                upstream,
+            ]),
+        );
+        return assigned;
     }
 }
--- a/packages/gateway/src/memberDirectory.ts
+++ b/packages/gateway/src/memberDirectory.ts
@@ -4,18 +4,18 @@
 import * as zod from "zod";
 import type * as types from "./types.js";
 
-/** Keys of this program in the metadata store. */
+/** Key prefixes of this program in the metadata store. */
 export const FleetPrefix = "boragedale/fleet/";
 export const MemberPrefix = `${FleetPrefix}member/`;
 export const EndedPrefix = `${FleetPrefix}ended/`;
 
-const LifeSeparator = "~";
+const IncarnationSeparator = "~";
 
-/** One life of an instance; a restart is another member. */
+/** One incarnation of an instance. A restart creates another member. */
 export interface Member {
     readonly id: core.InstanceId;
     readonly dataCentre: core.DataCentre;
-    /** IP address and port of the peer face. */
+    /** IP address and port of the peer listener. */
     readonly peerAddress: string;
 }
 
@@ -25,11 +25,11 @@
     return msgpackr.pack(member);
 }
 
-/** The live members as the metadata store lists them: entries that vanish with their lease. Pure. */
+/** The live members as listed by the metadata store. Their entries are removed when their leases end. Pure. */
 export class MemberDirectory {
     private readonly members = new Map<core.InstanceId, Member>();
     private readonly revisions = new Map<string, types.Revision>();
-    private readonly listeners = new Set<(gone: readonly core.InstanceId[]) => void>();
+    private readonly listeners = new Set<(removed: readonly core.InstanceId[]) => void>();
 
     constructor(readonly self: Member) {}
 
@@ -41,7 +41,7 @@
         return this.getMembers().filter(member => member.id !== this.self.id);
     }
 
-    /** Instances other than this one that are listed; one that was restarted may stand with several lives. */
+    /** Number of listed instances other than this one. A restarted instance may be listed with several incarnations. */
     countOtherInstances(): number {
         const names = new Set(this.getMembers().map(member => getInstanceName(member.id)));
         names.delete(getInstanceName(this.self.id));
@@ -52,12 +52,12 @@
         return this.members.get(id);
     }
 
-    /** Whether this member's own entry stands; without it others may take its submissions over. */
+    /** Whether this member's own entry is listed. Without it, other members may take over its submissions. */
     isListed(): boolean {
         return this.members.has(this.self.id);
     }
 
-    /** The member that takes over what a gone one owned: all work the same answer out. */
+    /** The member that takes over a submission of a removed one. All members compute the same result. */
     chooseHeir(submission: string): core.InstanceId | undefined {
         return decisions.rendezvous(
             submission,
@@ -65,39 +65,44 @@
         );
     }
 
-    /** Whether another life of a member's instance is listed: one that is listed no longer has then ended, whatever became of its lease. */
+    /**
+     * Whether another incarnation of the member's instance is listed. If so, a member that is no longer listed has
+     * ended, whatever the state of its lease.
+     */
     hasOtherLife(id: core.InstanceId): boolean {
         const instance = getInstanceName(id);
         return this.getMembers().some(member => member.id !== id && getInstanceName(member.id) === instance);
     }
 
-    /** The life of each instance that was listed last, by the store's revisions; all members work the same answer out. */
-    getCurrentLives(): readonly core.InstanceId[] {
-        const lives = new Map<string, core.InstanceId>();
+    /**
+     * The incarnation of each instance that was listed last, by store revision. All members compute the same result.
+     */
+    getCurrentIncarnations(): readonly core.InstanceId[] {
+        const incarnations = new Map<string, core.InstanceId>();
         for (const { id } of this.getMembers()) {
             const instance = getInstanceName(id);
-            const other = lives.get(instance);
+            const other = incarnations.get(instance);
             if (other === undefined || this.getRevision(id) > this.getRevision(other)) {
-                lives.set(instance, id);
+                incarnations.set(instance, id);
             }
         }
-        return [...lives.values()];
+        return [...incarnations.values()];
     }
 
-    /** Former lives of this member's instance that are still listed. */
-    getFormerLives(): readonly core.InstanceId[] {
+    /** Previous incarnations of this member's instance that are still listed. */
+    getPreviousIncarnations(): readonly core.InstanceId[] {
         const instance = getInstanceName(this.self.id);
         return this.getOthers()
             .map(member => member.id)
             .filter(id => getInstanceName(id) === instance);
     }
 
-    onChange(listener: (gone: readonly core.InstanceId[]) => void): void {
+    onChange(listener: (removed: readonly core.InstanceId[]) => void): void {
         this.listeners.add(listener);
     }
 
     apply(entries: readonly types.StoreEntry[]): void {
-        const gone: core.InstanceId[] = [];
+        const removed: core.InstanceId[] = [];
         let hasChanged = false;
         for (const entry of entries) {
             if (!entry.key.startsWith(MemberPrefix) || (this.revisions.get(entry.key) ?? 0) >= entry.revision) {
@@ -111,11 +116,11 @@
                 this.members.set(id, member);
             }
             else if (this.members.delete(id)) {
-                gone.push(id);
+                removed.push(id);
             }
         }
         if (hasChanged) {
-            this.listeners.forEach(listener => listener(gone));
+            this.listeners.forEach(listener => listener(removed));
         }
     }
 
@@ -124,13 +129,13 @@
     }
 }
 
-/** Names one life of an instance: a restart is another member. */
+/** Creates the id of one incarnation of an instance. */
 export function createMemberId(instance: string, nonce: string): core.InstanceId {
-    return `${instance}${LifeSeparator}${nonce}`;
+    return `${instance}${IncarnationSeparator}${nonce}`;
 }
 
 function getInstanceName(id: core.InstanceId): string {
-    return id.slice(0, Math.max(0, id.lastIndexOf(LifeSeparator)));
+    return id.slice(0, Math.max(0, id.lastIndexOf(IncarnationSeparator)));
 }
 
 function tryDecodeMember(value: Uint8Array): Member | undefined {
@@ -139,7 +144,7 @@
         return parsed.success ? parsed.data : undefined;
     }
     catch {
-        // Bytes of another program under our prefix name no member.
+        // Bytes that another program wrote under this prefix do not describe a member.
         return undefined;
     }
 }
--- a/packages/gateway/src/metadataStore.ts
+++ b/packages/gateway/src/metadataStore.ts
@@ -1,15 +1,15 @@
 import type * as types from "./types.js";
 
 export enum StoreFailureKind {
-    /** Nothing was done: refused, throttled, or not connected. */
+    /** Nothing was done: the call was rejected or throttled, or there was no connection. */
     NotDone = "NotDone",
-    /** No answer: it may have been done, or may yet be. */
+    /** There was no answer: the call may have been executed, or may still be. */
     Unknown = "Unknown",
-    /** The history before the revision is no longer kept: list again. */
+    /** The history before the revision is no longer kept, and the prefix must be listed again. */
     HistoryGone = "HistoryGone",
     /** The lease has ended. */
     LeaseGone = "LeaseGone",
-    /** The caller broke the call off itself: that says nothing of the store. */
+    /** The caller aborted the call, which says nothing about the store. */
     BrokenOff = "BrokenOff",
 }
 
@@ -23,18 +23,18 @@
 
 export interface Precondition {
     readonly key: string;
-    /** The revision that must be there; 0 where the key must be absent. */
+    /** The revision that the key must have; 0 if it must be absent. */
     readonly revision: types.Revision;
 }
 
 export interface Put {
     readonly key: string;
     readonly value: Uint8Array;
-    /** The entry vanishes when this lease ends. */
+    /** The entry is removed when this lease ends. */
     readonly lease?: string;
 }
 
-/** All or nothing. Limits: MaximumTransactionEntries in all, MaximumValueBytes a value. */
+/** Executed completely or not at all. Limits: MaximumTransactionEntries in total, MaximumValueBytes per value. */
 export interface Transaction {
     readonly preconditions: readonly Precondition[];
     readonly puts: readonly Put[];
@@ -43,7 +43,7 @@
 
 export type TransactionOutcome =
     | { readonly isCommitted: true; readonly revision: types.Revision }
-    /** The entries that the preconditions name, as they are. */
+    /** The current entries of the keys that the preconditions name. */
     | { readonly isCommitted: false; readonly current: readonly types.StoreEntry[] };
 
 /** Entries as of a revision. */
@@ -53,21 +53,21 @@
 }
 
 export const MaximumTransactionEntries = 32;
-/** Below the store's megabyte, with room for the encoding around a value. */
+/** Below the store's limit of one megabyte, with room for the encoding around a value. */
 export const MaximumValueBytes = 700_000;
 
 /**
- * A key-value store with transactions over several keys, one revision counter, leases and long-poll watches. It differs
- * from the product's `KeyValueService`, which swaps one key at a time: a submission, its owner and a segment of
- * results change together here, or a kill between two writes would lose one of them.
+ * A key-value store with transactions over several keys, one revision counter, leases and long-poll watches. Unlike the
+ * product's `KeyValueService`, which swaps one key at a time, it changes a submission, its owner and a segment of
+ * results together. With separate writes, a process killed between two of them would lose one.
  */
 export abstract class MetadataStore {
-    /** Linearizable. */
+    /** A linearizable read. */
     abstract read(key: string): Promise<StoreResult<types.StoreEntry | undefined>>;
-    /** All pages; `allowStale` may be seconds old and costs a tenth. */
+    /** Lists all pages. With `allowStale` the result may be seconds old and costs a tenth. */
     abstract list(prefix: string, allowStale?: boolean): Promise<StoreResult<Listing>>;
     abstract transact(transaction: Transaction): Promise<StoreResult<TransactionOutcome>>;
-    /** Waits for changes after a revision; an empty list after `waitMilliseconds` without any. */
+    /** Waits for changes after a revision. Returns an empty list if there are none within `waitMilliseconds`. */
     abstract watch(
         prefix: string,
         after: types.Revision,
--- a/packages/gateway/src/quotaAdmissions.ts
+++ b/packages/gateway/src/quotaAdmissions.ts
@@ -1,48 +1,51 @@
 import type * as core from "@boragedale/core";
 
-/** A request of a customer that this member ran, and who counted it. */
+/** A request of a customer that this member ran, and the owner that counted it. */
 interface Admission {
     readonly at: core.MonotonicMilliseconds;
-    /** Undefined: nobody did. */
-    readonly keeper: core.InstanceId | undefined;
+    /** Undefined if no owner counted the request. */
+    readonly owner: core.InstanceId | undefined;
 }
 
-/** What this member ran in the last window, by customer: a keeper that is new to a customer is told what it has not counted. */
+/**
+ * The requests that this member ran in the last window, by customer. A new owner of a customer's quota is sent the
+ * number of those that it has not counted.
+ */
 export class QuotaAdmissions {
-    /** Oldest first, in the order in which the customers were last seen. */
+    /** Requests are ordered oldest first, and customers by their last request. */
     private readonly byCustomer = new Map<string, Admission[]>();
 
     constructor(private readonly windowMilliseconds: number) {}
 
-    record(customer: string, keeper: core.InstanceId | undefined, now: core.MonotonicMilliseconds): void {
+    record(customer: string, owner: core.InstanceId | undefined, now: core.MonotonicMilliseconds): void {
         const recent = this.prune(customer, now);
-        recent.push({ at: now, keeper });
+        recent.push({ at: now, owner });
         this.byCustomer.delete(customer);
         this.byCustomer.set(customer, recent);
         this.evictIdle(now);
     }
 
-    /** Takes back the last one that the keeper counted. */
-    forget(customer: string, keeper: core.InstanceId): void {
+    /** Removes the last request that the owner counted. */
+    removeLast(customer: string, owner: core.InstanceId): void {
         const recent = this.byCustomer.get(customer);
-        const index = recent?.findLastIndex(admission => admission.keeper === keeper) ?? -1;
+        const index = recent?.findLastIndex(admission => admission.owner === owner) ?? -1;
         if (index >= 0) {
             recent?.splice(index, 1);
         }
     }
 
-    /** Requests of the last window that the keeper has not counted. */
-    countUncounted(customer: string, keeper: core.InstanceId, now: core.MonotonicMilliseconds): number {
-        return this.prune(customer, now).filter(admission => admission.keeper !== keeper).length;
+    /** Number of requests in the last window that the owner has not counted. */
+    countUncounted(customer: string, owner: core.InstanceId, now: core.MonotonicMilliseconds): number {
+        return this.prune(customer, now).filter(admission => admission.owner !== owner).length;
     }
 
-    /** The keeper has counted all of the customer's requests now. */
-    settle(customer: string, keeper: core.InstanceId): void {
+    /** Marks all of the customer's requests as counted by the owner. */
+    markCounted(customer: string, owner: core.InstanceId): void {
         const recent = this.byCustomer.get(customer);
-        if (recent?.some(admission => admission.keeper !== keeper) === true) {
+        if (recent?.some(admission => admission.owner !== owner) === true) {
             this.byCustomer.set(
                 customer,
-                recent.map(({ at }) => ({ at, keeper })),
+                recent.map(({ at }) => ({ at, owner })),
             );
         }
     }
--- a/packages/gateway/src/quotaKeepers.ts
+++ b/packages/gateway/src/quotaKeepers.ts
@@ -1,55 +1,55 @@
 import type * as core from "@boragedale/core";
 import * as decisions from "@boragedale/decisions";
-import * as homeDirectory from "./homeDirectory.js";
+import * as coordinatorDirectory from "./homeDirectory.js";
 import type * as memberDirectory from "./memberDirectory.js";
 
-/** Members for each keeper in a large fleet: all members stay linked to every keeper. */
-const MembersPerKeeper = 16;
-const FewestKeepers = 3;
-/** Keepers that are tried for one customer: the one that has the duty, and those that have it next. */
-const MostKeepersTried = 3;
-/** Ranks the members; all of them compute the same order. */
+/** Members for each quota owner in a large fleet. All members stay linked to every owner. */
+const MembersPerOwner = 16;
+const MinimumOwners = 3;
+/** Owners that are tried for one customer: the current one and its successors. */
+const MaximumOwnersTried = 3;
+/** Hash key for ranking the members. All of them compute the same order. */
 const RankKey = "quota";
 
-/** Which member keeps the limit of which customer. */
+/** Determines which member owns the quota of which customer. */
 export class QuotaKeepers {
-    /** Computed when first asked for after a change of the members. */
-    private keepers: readonly core.InstanceId[] | undefined;
+    /** Computed on first use after a change of the members. */
+    private owners: readonly core.InstanceId[] | undefined;
     private memberCount: number | undefined;
 
     constructor(private readonly members: memberDirectory.MemberDirectory) {
         members.onChange(() => {
-            this.keepers = undefined;
+            this.owners = undefined;
             this.memberCount = undefined;
         });
     }
 
     getAll(): readonly core.InstanceId[] {
-        this.keepers ??= this.choose();
-        return this.keepers;
+        this.owners ??= this.choose();
+        return this.owners;
     }
 
-    /** The keeper of a customer's limit first, then who keeps it when that one is gone. `except`: those out of reach. */
-    rank(customer: string, except: ReadonlySet<core.InstanceId> = new Set()): readonly core.InstanceId[] {
+    /** The owner of a customer's quota, followed by its successors, without those that are unreachable. */
+    rank(customer: string, unreachable: ReadonlySet<core.InstanceId> = new Set()): readonly core.InstanceId[] {
         const all = this.getAll();
-        const reachable = except.size === 0 ? all : all.filter(id => !except.has(id));
-        return decisions.chooseSubset(customer, reachable, MostKeepersTried);
+        const reachable = unreachable.size === 0 ? all : all.filter(id => !unreachable.has(id));
+        return decisions.chooseSubset(customer, reachable, MaximumOwnersTried);
     }
 
     /**
-     * Instances of the fleet, this one included. A member that has not seen itself listed may know few of them: it doesn't take itself for
-     * one of a small fleet.
+     * Number of instances in the fleet, including this one. A member that has not seen its own entry listed may know
+     * only a few of them, and must not assume a small fleet.
      */
     getMemberCount(): number {
         this.memberCount ??= Math.max(
             this.members.countOtherInstances() + 1,
-            this.members.isListed() ? 1 : homeDirectory.NeighbourCount + 1,
+            this.members.isListed() ? 1 : coordinatorDirectory.NeighbourCount + 1,
         );
         return this.memberCount;
     }
 
-    /** Whether this member keeps limits. */
-    isKeeper(): boolean {
+    /** Whether this member is a quota owner. */
+    isOwner(): boolean {
         return this.getAll().includes(this.members.self.id);
     }
 
@@ -59,10 +59,10 @@
 
     private choose(): readonly core.InstanceId[] {
         const { members } = this;
-        const ids = members.getCurrentLives();
-        if (ids.length <= homeDirectory.NeighbourCount + 1) {
+        const ids = members.getCurrentIncarnations();
+        if (ids.length <= coordinatorDirectory.NeighbourCount + 1) {
             return ids;
         }
-        return decisions.chooseSubset(RankKey, ids, Math.max(FewestKeepers, Math.ceil(ids.length / MembersPerKeeper)));
+        return decisions.chooseSubset(RankKey, ids, Math.max(MinimumOwners, Math.ceil(ids.length / MembersPerOwner)));
     }
 }
--- a/packages/gateway/src/quotaReach.ts
+++ b/packages/gateway/src/quotaReach.ts
@@ -1,78 +1,79 @@
 import type * as core from "@boragedale/core";
 import type * as customers from "@boragedale/customers";
 import type * as protocol from "@boragedale/protocol";
-import type * as quotaKeepers from "./quotaKeepers.js";
+import type * as quotaOwners from "./quotaKeepers.js";
 
 export interface QuotaReachParts {
-    readonly keepers: quotaKeepers.QuotaKeepers;
+    readonly keepers: quotaOwners.QuotaKeepers;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
     readonly terms: customers.QuotaTerms;
 }
 
-/** How much of the fleet this member hears. */
+/** The part of the fleet that this member can reach. */
 export interface Reach {
-    /** Peers that may be at work out of reach. */
-    readonly silent: ReadonlySet<core.InstanceId>;
-    /** Share of the members that are not among them. */
-    readonly share: number;
-    /** Share of the members that can report what they ran in the last window. */
-    readonly known: number;
+    /** Peers that may be running but cannot be reached. */
+    readonly unresponsive: ReadonlySet<core.InstanceId>;
+    /** Share of the members that are not unresponsive. */
+    readonly reachableShare: number;
+    /** Share of the members that can report the requests that they ran in the last window. */
+    readonly knownShare: number;
 }
 
-const LookMilliseconds = 250;
+const RefreshMilliseconds = 250;
 /**
- * A process that has just started can't tell how much of the fleet was killed with it. A start takes a good part of a window, so that
- * at most about half of a window's requests are unknown.
+ * A process that has just started cannot tell how much of the fleet was killed with it. A start takes a good part of a
+ * window, so that at most about half of a window's requests are unknown.
  */
-const KnownAtStart = 0.5;
+const KnownShareAtStart = 0.5;
 
 /**
- * Peers that went silent used the whole limit together with their own keeper until they were known to be silent: this part of a window.
+ * Fraction of a window until peers are known to be unresponsive. Until then, they use the whole limit with an owner of
+ * their own.
  */
-const UnknownSilentShare = 0.36;
+const UndetectedWindowFraction = 0.36;
 
-/** Follows which members can be heard, as far as the limits of customers depend on it. */
+/** Tracks which members can be reached, as far as the limits of customers depend on it. */
 export class QuotaReach {
-    private lookedAt: core.MonotonicMilliseconds = -Infinity;
-    private reach: Reach = { silent: new Set(), share: 1, known: 1 };
-    /** The lowest share of linked members of the last window, and when it was seen. */
-    private low: { readonly share: number; readonly at: core.MonotonicMilliseconds };
+    private refreshedAt: core.MonotonicMilliseconds = -Infinity;
+    private reach: Reach = { unresponsive: new Set(), reachableShare: 1, knownShare: 1 };
+    /** The lowest share of linked members in the last window, and when it was seen. */
+    private lowest: { readonly share: number; readonly at: core.MonotonicMilliseconds };
     private readonly startedAt: core.MonotonicMilliseconds;
 
     constructor(private readonly parts: QuotaReachParts) {
         this.startedAt = parts.clock.now();
-        this.low = { share: KnownAtStart, at: this.startedAt };
+        this.lowest = { share: KnownShareAtStart, at: this.startedAt };
     }
 
-    /** `isFresh`: as it is at this moment, not as it was a little before. */
+    /** `isFresh`: computes the current state instead of using a recent one. */
     get(isFresh: boolean): Reach {
         const now = this.parts.clock.now();
-        if (isFresh || now - this.lookedAt >= LookMilliseconds) {
-            this.lookedAt = now;
-            this.look(now);
+        if (isFresh || now - this.refreshedAt >= RefreshMilliseconds) {
+            this.refreshedAt = now;
+            this.refresh(now);
         }
         return this.reach;
     }
 
-    private look(now: core.MonotonicMilliseconds): void {
-        const { keepers, network, terms } = this.parts;
-        const count = keepers.getMemberCount();
-        const silent = keepers.pickListed(network.getSilentPeers());
-        const linked = Math.min(count, keepers.pickListed(network.getConnectedPeers()).length + 1);
-        // Only keepers are linked to all; the others learn nothing of who was lost.
-        const lost = keepers.isKeeper() ? count - linked : 0;
-        const heard = 1 - Math.min(count, lost + UnknownSilentShare * silent.length) / count;
-        // Links are still being opened: members without one aren't lost.
+    private refresh(now: core.MonotonicMilliseconds): void {
+        const { keepers: owners, network, terms } = this.parts;
+        const count = owners.getMemberCount();
+        const unresponsive = owners.pickListed(network.getSilentPeers());
+        const linked = Math.min(count, owners.pickListed(network.getConnectedPeers()).length + 1);
+        // Only owners are linked to all members. The others cannot tell which members are disconnected.
+        const disconnected = owners.isOwner() ? count - linked : 0;
+        const reachable = 1 - Math.min(count, disconnected + UndetectedWindowFraction * unresponsive.length) / count;
+        // Links are still being opened, so members without one are not disconnected.
         const isStarting = now - this.startedAt <= terms.windowMilliseconds;
-        const share = isStarting ? Math.max(KnownAtStart, heard) : heard;
-        if (share <= this.low.share || now - this.low.at > terms.windowMilliseconds) {
-            this.low = { share, at: now };
+        const share = isStarting ? Math.max(KnownShareAtStart, reachable) : reachable;
+        if (share <= this.lowest.share || now - this.lowest.at > terms.windowMilliseconds) {
+            this.lowest = { share, at: now };
         }
         this.reach = {
-            silent: new Set(silent),
-            share: 1 - Math.min(count - 1, silent.length) / count,
-            known: this.low.share,
+            unresponsive: new Set(unresponsive),
+            reachableShare: 1 - Math.min(count - 1, unresponsive.length) / count,
+            knownShare: this.lowest.share,
         };
     }
 }
--- a/packages/gateway/src/registration.ts
+++ b/packages/gateway/src/registration.ts
@@ -4,21 +4,25 @@
 import * as memberDirectory from "./memberDirectory.js";
 import * as metadataStore from "./metadataStore.js";
 
-/** Others take over what this member owns when its lease ends: soon enough for items that are due in seconds. */
+/**
+ * Lease of this member's entry. When it ends, others take over what this member owns, soon enough for items that are
+ * due within seconds.
+ */
 export const LeaseMilliseconds = 4_000;
-/** A third of the lease: two renewals may fail before it ends. */
-const RenewMilliseconds = 1_300;
+/** A third of the lease, so that two renewals may fail before it ends. */
+const RenewIntervalMilliseconds = 1_300;
 /**
- * First and longest pause after a call that failed. This is the call by which a member without work finds that the store is back:
- * with the time of a call that began just before, it must stay well under the two seconds in which changes are to be known.
+ * First and longest pause after a failed call. A member without work detects the store's recovery by this call.
+ * Together with the duration of a call that began just before, the pause must stay well below the two seconds within
+ * which changes must be known.
  */
 const FirstRetryMilliseconds = 300;
 const LongestRetryMilliseconds = 500;
-const ListingMilliseconds = 500;
+const ListingTimeoutMilliseconds = 500;
 
 enum RenewalOutcome {
     Renewed = "Renewed",
-    /** The lease has run out, and the entry went with it. */
+    /** The lease has expired, and the entry was removed with it. */
     Ended = "Ended",
     Unknown = "Unknown",
 }
@@ -29,7 +33,7 @@
     private lease: string | undefined;
     private task: Promise<void> | undefined;
     /** Aborted to end the pause between two renewals. */
-    private pause = new AbortController();
+    private pauseAbort = new AbortController();
     private isRenewalDue = false;
 
     constructor(
@@ -39,18 +43,18 @@
         private readonly log: gatewayLog.GatewayLog,
     ) {}
 
-    /** Registers once the former lives of this instance are known, or the time for that is up. */
+    /** Registers once the previous incarnations of this instance are known, or after a timeout. */
     start(whenListed: Promise<void>): void {
         this.task = this.run(whenListed);
     }
 
     /**
-     * Has a renewal begin now, or as soon as the one in progress has ended. A call that starts after a watch and is answered shows
-     * that the store was not silent when the watch began; one that fails has the watch restarted.
+     * Starts a renewal now, or as soon as the one in progress has ended. If a call that starts after a watch is
+     * answered, the store was not silent when the watch began; if it fails, the watch is restarted.
      */
     renewEarly(): void {
         this.isRenewalDue = true;
-        this.pause.abort();
+        this.pauseAbort.abort();
     }
 
     tryGetLease(): string | undefined {
@@ -59,7 +63,7 @@
 
     async [Symbol.asyncDispose](): Promise<void> {
         this.stopper.abort();
-        this.pause.abort();
+        this.pauseAbort.abort();
         await this.task;
         if (this.lease !== undefined) {
             await this.store.endLease(this.lease);
@@ -67,32 +71,34 @@
     }
 
     private async run(whenListed: Promise<void>): Promise<void> {
-        await Promise.race([whenListed, this.clock.sleep(ListingMilliseconds, this.stopper.signal)]);
+        await Promise.race([whenListed, this.clock.sleep(ListingTimeoutMilliseconds, this.stopper.signal)]);
         const pauses = new backoff.Backoff(FirstRetryMilliseconds, LongestRetryMilliseconds);
         while (!this.stopper.signal.aborted) {
             this.isRenewalDue = false;
-            this.pause = new AbortController();
-            const isKept = await this.keep();
-            if (isKept) {
+            this.pauseAbort = new AbortController();
+            const isRegistered = await this.ensureRegistered();
+            if (isRegistered) {
                 pauses.reset();
             }
-            if (isKept && this.isRenewalDue) {
+            if (isRegistered && this.isRenewalDue) {
                 continue;
             }
-            // After a failure the pause holds, however many watches begin: the store may be refusing calls for their number.
-            const signal = isKept ? this.pause.signal : this.stopper.signal;
-            await this.clock.sleep(isKept ? RenewMilliseconds : pauses.next(), signal);
+            // After a failure the full pause applies, however many watches begin: the store may be rejecting calls
+            // because there are too many.
+            const signal = isRegistered ? this.pauseAbort.signal : this.stopper.signal;
+            await this.clock.sleep(isRegistered ? RenewIntervalMilliseconds : pauses.next(), signal);
         }
     }
 
-    /** Renews the lease, or registers anew; returns whether the entry stands. */
-    private async keep(): Promise<boolean> {
+    /** Renews the lease, or registers again. Returns whether the entry exists. */
+    private async ensureRegistered(): Promise<boolean> {
         if (this.lease !== undefined) {
             const outcome = await this.renew(this.lease);
             if (outcome !== RenewalOutcome.Ended) {
                 return outcome === RenewalOutcome.Renewed;
             }
-            // The store answers; without an entry others take this member for gone, so the new one doesn't wait for a pause.
+            // The store answers. Without an entry, other members treat this one as removed, so it registers again
+            // without a pause.
             this.lease = undefined;
         }
         return this.register();
@@ -108,8 +114,9 @@
             value: memberDirectory.encodeMember(this.members.self),
             lease: granted.value,
         };
-        // A process that was killed and is back would else keep its submissions waiting for its former life's lease.
-        const deletes = this.members.getFormerLives().map(id => memberDirectory.MemberPrefix + id);
+        // Otherwise the submissions of a process that was killed and restarted would wait for the lease of its previous
+        // incarnation to expire.
+        const deletes = this.members.getPreviousIncarnations().map(id => memberDirectory.MemberPrefix + id);
         const written = await this.store.transact({ preconditions: [], puts: [put], deletes });
         if (!written.ok) {
             return false;
--- a/packages/gateway/src/settledRevision.ts
+++ b/packages/gateway/src/settledRevision.ts
@@ -1,17 +1,20 @@
 import type * as core from "@boragedale/core";
 import type * as types from "./types.js";
 
-/** Changes reach an instance out of their order by less than this: each watch gathers them for itself, and a call may fail twice. */
+/**
+ * Changes reach an instance out of order by less than this: each watch gathers changes separately, and a call may fail
+ * twice.
+ */
 const SettleMilliseconds = 5_000;
 
-/** The revision up to which nothing more is expected: the highest one that was known some seconds ago. Pure. */
+/** The revision up to which no more changes are expected: the highest one that was known some seconds ago. Pure. */
 export class SettledRevision {
     private settled: types.Revision = 0;
-    /** Known since `knownAt`; settled once that is long enough ago. */
+    /** Known since `knownAt`; settled after `SettleMilliseconds`. */
     private known: types.Revision = 0;
     private knownAt: core.MonotonicMilliseconds = -Infinity;
 
-    /** The highest revision known, after each change. */
+    /** Records the highest known revision after each change. */
     note(revision: types.Revision, now: core.MonotonicMilliseconds): void {
         if (revision > this.known && this.isKnownLongEnough(now)) {
             this.settled = Math.max(this.settled, this.known);
@@ -20,8 +23,8 @@
         }
     }
 
-    /** Everything up to the revision was seen. */
-    noteWhole(revision: types.Revision): void {
+    /** Records that all changes up to the revision have been seen. */
+    noteComplete(revision: types.Revision): void {
         this.settled = Math.max(this.settled, revision);
     }
 
--- a/packages/gateway/src/slotSharing.ts
+++ b/packages/gateway/src/slotSharing.ts
@@ -1,73 +1,80 @@
 import type * as core from "@boragedale/core";
 import * as decisions from "@boragedale/decisions";
 import * as protocol from "@boragedale/protocol";
-import type * as homeDirectory from "./homeDirectory.js";
-import * as slotLending from "./slotLending.js";
+import type * as coordinatorDirectory from "./homeDirectory.js";
+import * as slotGranting from "./slotLending.js";
 
-/** A place taken is told almost at once: until then others may take the same one. */
-const TakenDelayMilliseconds = 2;
+/** Delay of the notice that a slot was taken. Short, since others may take the same slot until it arrives. */
+const TakenNoticeDelayMilliseconds = 2;
 /**
- * A place that came free is told with others after this long: a notice each would be most of the messages, and one that
- * is known free a little later costs nobody a queue.
+ * Delay of the notice that a slot was freed, so that it is sent together with others. Separate notices would be most of
+ * the messages, and no queue forms because a free slot becomes known a little later.
  */
-const NoticeDelayMilliseconds = 25;
-/** The whole use is told this often, so that a lost notice is mended and a silent peer is known. */
-const WholeIntervalMilliseconds = 1_000;
-/** The same where homes lend: they count what they lend themselves, and only what went wrong on the way is to be mended. */
-const LentWholeIntervalMilliseconds = 3_000;
-/** Time for a home to answer: some milliseconds of way; an item has seconds, but a dead home must not hold it up. */
-const HomeTimeoutMilliseconds = 80;
-/** A peer that told nothing for this long has no requests that count: it is gone, stopped or cut off. */
-const PeerSilenceMilliseconds = 3_500;
-const LentPeerSilenceMilliseconds = 3 * LentWholeIntervalMilliseconds;
+const ReleasedNoticeDelayMilliseconds = 25;
+/** Interval at which the complete use is sent, so that lost notices are corrected and silent peers are detected. */
+const FullNoticeIntervalMilliseconds = 1_000;
+/**
+ * The same where coordinators grant slots. They count granted slots themselves, and only the effects of lost messages
+ * have to be corrected.
+ */
+const CoordinatedFullNoticeIntervalMilliseconds = 3_000;
+/**
+ * Time for a coordinator to answer: a few milliseconds of network latency. An item has seconds, but an unavailable
+ * coordinator must not delay it.
+ */
+const CoordinatorTimeoutMilliseconds = 80;
+/** A peer that sent no notice for this long has ended, is stopped or cut off, and its requests no longer count. */
+const PeerExpiryMilliseconds = 3_500;
+const CoordinatedPeerExpiryMilliseconds = 3 * CoordinatedFullNoticeIntervalMilliseconds;
 
 export interface SlotSharingParts {
     readonly board: decisions.SlotBoard;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
-    readonly homes: homeDirectory.HomeDirectory;
+    readonly homes: coordinatorDirectory.HomeDirectory;
     readonly dataCentre: core.DataCentre;
     readonly random: () => number;
-    readonly onHomeSilent: (home: core.InstanceId, text: string) => void;
+    readonly onHomeSilent: (coordinator: core.InstanceId, text: string) => void;
 }
 
 /**
- * Keeps the board of places up to date: tells of the own requests, and takes what peers tell. In a small fleet everybody
- * tells everybody; in a large one each use is told to the engine's home alone, which lends the places.
+ * Keeps the slot table up to date: sends notices of this member's requests, and applies those of peers. In a small
+ * fleet every member notifies all others. In a large one each use is reported only to the engine's coordinator, which
+ * grants the slots.
  */
 export class SlotSharing implements AsyncDisposable {
     private readonly dirty = new Set<core.UpstreamId>();
-    private readonly heard = new Map<core.InstanceId, core.MonotonicMilliseconds>();
+    private readonly lastNoticeAt = new Map<core.InstanceId, core.MonotonicMilliseconds>();
     private readonly used = new Set<core.UpstreamId>();
     private readonly stopper = new AbortController();
     private noticeDueAt: core.MonotonicMilliseconds = Infinity;
     private stopNotice: (() => void) | undefined;
     private onYield: (upstream: core.UpstreamId) => void = () => undefined;
-    private onRoom: () => void = () => undefined;
+    private onSlotFreed: () => void = () => undefined;
 
     private readonly grants = new decisions.BatchGrants();
-    private readonly lending: slotLending.SlotLending;
+    private readonly granting: slotGranting.SlotGranting;
     private readonly network: protocol.PeerNetwork;
     private readonly clock: core.Clock;
     readonly board: decisions.SlotBoard;
 
     constructor(private readonly parts: SlotSharingParts) {
-        const { network, clock, board } = parts;
+        const { network, clock, board: slotTable } = parts;
         this.network = network;
         this.clock = clock;
-        this.board = board;
-        this.lending = new slotLending.SlotLending({
+        this.board = slotTable;
+        this.granting = new slotGranting.SlotGranting({
             ...parts,
-            askToYield: (upstream, yielder) => this.askToYield(upstream, yielder),
-            giveBack: upstream => this.giveBack(upstream),
-            onLent: borrower => this.heard.set(borrower, clock.now()),
+            requestYield: (upstream, yielder) => this.askToYield(upstream, yielder),
+            returnSlot: upstream => this.giveBack(upstream),
+            onGranted: requester => this.lastNoticeAt.set(requester, clock.now()),
         });
         network.handle(protocol.MessageKind.BatchStart, async (message, from) => ({
             kind: protocol.MessageKind.BatchStartReply,
             isGranted: this.grant(from, { id: message.upstream, slots: message.slots }, message.reserve),
         }));
         network.handle(protocol.MessageKind.SlotUses, async (message, from) => {
-            this.takeNotice(message, from);
+            this.applyNotice(message, from);
             return undefined;
         });
         network.handle(protocol.MessageKind.YieldSlot, async message => {
@@ -76,66 +83,74 @@
         });
     }
 
-    /** Who gives up a batch item's place, and who wants to know that places may have come free. */
-    connect(onYield: (upstream: core.UpstreamId) => void, onRoom: () => void): void {
+    /** Sets the callbacks that give up a batch item's slot, and that handle slots which may have been freed. */
+    connect(onYield: (upstream: core.UpstreamId) => void, onSlotFreed: () => void): void {
         this.onYield = onYield;
-        this.onRoom = onRoom;
+        this.onSlotFreed = onSlotFreed;
     }
 
-    /** Whether an own item may only start on own engines and on places that neighbours lend. */
+    /** Whether this member's items may only start on its own engines and on slots that neighbours grant. */
     isLending(service: string): boolean {
-        return this.parts.homes.isLending() && this.parts.homes.isLent(service);
+        return this.parts.homes.isLending() && this.parts.homes.isEngineService(service);
     }
 
     isOwn(upstream: core.UpstreamId): boolean {
-        return this.parts.homes.tryGetHome(upstream) === decisions.SelfInstance;
+        return this.parts.homes.tryGetCoordinator(upstream) === decisions.SelfInstance;
     }
 
-    /** The upstream for an online request; whether to join its queue is for the caller to decide. */
+    /** Chooses the upstream for an online request. The caller decides whether to join its queue. */
     async chooseOnline(
         service: string,
         candidates: readonly decisions.SlotCandidate[],
-    ): Promise<slotLending.LentSlotChoice | undefined> {
+    ): Promise<slotGranting.GrantedSlotChoice | undefined> {
         if (this.isLending(service)) {
-            return this.lending.chooseOnline(service, candidates);
+            return this.granting.chooseOnline(service, candidates);
         }
         const { dataCentre } = this.parts;
-        const choice = this.board.tryChooseOnline(candidates, dataCentre, slotLending.ReservedSlots, this.clock.now());
+        const choice = this.board.tryChooseOnline(candidates, dataCentre, slotGranting.ReservedSlots, this.clock.now());
         return choice === undefined ? undefined : { ...choice, isCounted: false };
     }
 
-    /** Asks the neighbours for places for so many items; `use` is told each one that comes, and says whether it is used. */
+    /**
+     * Requests slots from neighbours for the wanted number of items. `use` is called with each granted slot, and
+     * returns whether it is used.
+     */
     borrowForBatch(service: string, wanted: number, use: (upstream: core.UpstreamId) => boolean): void {
-        this.lending.borrowForBatch(service, wanted, use);
+        this.granting.requestBatchSlots(service, wanted, use);
     }
 
-    /** Members that are gone hold no places any more. */
-    forget(gone: readonly core.InstanceId[]): void {
-        gone.forEach(member => this.forgetPeer(member));
-        this.lending.forget(gone);
+    /** Frees the slots of removed members. */
+    forget(removed: readonly core.InstanceId[]): void {
+        removed.forEach(member => this.forgetPeer(member));
+        this.granting.forget(removed);
     }
 
-    /** `isCounted`: the upstream's home lent the place and needs no notice of it. */
+    /** `isCounted`: the upstream's coordinator granted the slot and needs no notice of it. */
     take(upstream: core.UpstreamId, isBatch: boolean, isCounted = false): void {
         this.board.take(upstream, isBatch);
         this.used.add(upstream);
         if (!isCounted) {
-            this.noteChange(upstream, TakenDelayMilliseconds);
+            this.noteChange(upstream, TakenNoticeDelayMilliseconds);
         }
     }
 
-    /** A place that the upstream's home counts for this member isn't used: the home is told what is. */
+    /**
+     * Notifies the upstream's coordinator of the actual use, after it counted a slot for this member that is not used.
+     */
     giveBack(upstream: core.UpstreamId): void {
-        this.noteChange(upstream, NoticeDelayMilliseconds);
+        this.noteChange(upstream, ReleasedNoticeDelayMilliseconds);
     }
 
     release(upstream: core.UpstreamId, isBatch: boolean): void {
         this.board.release(upstream, isBatch);
-        this.noteChange(upstream, NoticeDelayMilliseconds);
-        this.noteRoom();
+        this.noteChange(upstream, ReleasedNoticeDelayMilliseconds);
+        this.notifySlotFreed();
     }
 
-    /** Asks the holder of a batch item on the upstream to give its place up; sent at once, since an online request waits. */
+    /**
+     * Asks the holder of a batch item on the upstream to give up its slot. Sent immediately, since an online request is
+     * waiting.
+     */
     askToYield(upstream: core.UpstreamId, yielder: core.InstanceId): void {
         if (yielder === decisions.SelfInstance) {
             this.onYield(upstream);
@@ -145,12 +160,12 @@
     }
 
     /**
-     * Whether a batch item may start on the upstream, as its home says. A home that doesn't answer is one that stopped or
-     * is cut off: then the own board decides, as the others' do.
+     * Whether a batch item may start on the upstream, as decided by its coordinator. A coordinator that does not answer
+     * is stopped or cut off. The local slot table decides then, as it does at the other members.
      */
     async mayStartBatch(upstream: decisions.SlotCandidate, reserve: number): Promise<boolean> {
-        const home = this.parts.homes.tryGetHome(upstream.id);
-        if (home === undefined || home === decisions.SelfInstance) {
+        const coordinator = this.parts.homes.tryGetCoordinator(upstream.id);
+        if (coordinator === undefined || coordinator === decisions.SelfInstance) {
             return this.grant(decisions.SelfInstance, upstream, reserve);
         }
         const message = {
@@ -159,9 +174,9 @@
             slots: upstream.slots,
             reserve,
         } as const;
-        const reply = await this.network.request(home, message, {
+        const reply = await this.network.request(coordinator, message, {
             lane: protocol.Lane.Control,
-            timeoutMilliseconds: HomeTimeoutMilliseconds,
+            timeoutMilliseconds: CoordinatorTimeoutMilliseconds,
         });
         if (reply.ok && reply.message.kind === protocol.MessageKind.BatchStartReply) {
             return reply.message.isGranted;
@@ -169,14 +184,14 @@
         return this.grant(decisions.SelfInstance, upstream, reserve);
     }
 
-    /** The task that repeats the whole use. */
+    /** The background task that repeats the complete use. */
     async run(): Promise<void> {
         while (!this.stopper.signal.aborted) {
             this.forgetSilentPeers();
-            this.tell([...this.used], true);
+            this.sendNotices([...this.used], true);
             this.forgetUnused();
-            const isLending = this.parts.homes.isLending();
-            const interval = isLending ? LentWholeIntervalMilliseconds : WholeIntervalMilliseconds;
+            const areGranted = this.parts.homes.isLending();
+            const interval = areGranted ? CoordinatedFullNoticeIntervalMilliseconds : FullNoticeIntervalMilliseconds;
             await this.clock.sleep(interval, this.stopper.signal);
         }
     }
@@ -185,9 +200,13 @@
         this.stopper.abort();
     }
 
-    private grant(asker: core.InstanceId, upstream: { id: core.UpstreamId; slots: number }, reserve: number): boolean {
+    private grant(
+        requester: core.InstanceId,
+        upstream: { id: core.UpstreamId; slots: number },
+        reserve: number,
+    ): boolean {
         const total = this.board.getTotal(upstream.id);
-        return this.grants.tryGrant(asker, upstream.id, total, upstream.slots, reserve, this.clock.now());
+        return this.grants.tryGrant(requester, upstream.id, total, upstream.slots, reserve, this.clock.now());
     }
 
     private noteChange(upstream: core.UpstreamId, delay: number): void {
@@ -203,30 +222,33 @@
             this.noticeDueAt = Infinity;
             const changed = [...this.dirty];
             this.dirty.clear();
-            this.tell(changed, false);
+            this.sendNotices(changed, false);
         });
     }
 
-    private tell(upstreams: readonly core.UpstreamId[], isWhole: boolean): void {
+    private sendNotices(upstreams: readonly core.UpstreamId[], isWhole: boolean): void {
         if (!this.parts.homes.isLending()) {
             this.network.notifyAll(this.createNotice(upstreams, isWhole), protocol.Lane.Control);
             return;
         }
-        for (const [home, lent] of this.groupByHome(upstreams)) {
-            this.network.notify(home, this.createNotice(lent, isWhole), protocol.Lane.Control);
+        for (const [coordinator, coordinated] of this.groupByCoordinator(upstreams)) {
+            this.network.notify(coordinator, this.createNotice(coordinated, isWhole), protocol.Lane.Control);
         }
     }
 
-    /** Upstreams by the peer that lends them; own ones need no notice, plain services are not lent. */
-    private groupByHome(upstreams: readonly core.UpstreamId[]): Map<core.InstanceId, core.UpstreamId[]> {
-        const byHome = new Map<core.InstanceId, core.UpstreamId[]>();
+    /**
+     * Groups upstreams by the peer that coordinates them. Own engines need no notice, and slots of plain services are
+     * not granted.
+     */
+    private groupByCoordinator(upstreams: readonly core.UpstreamId[]): Map<core.InstanceId, core.UpstreamId[]> {
+        const byCoordinator = new Map<core.InstanceId, core.UpstreamId[]>();
         for (const upstream of upstreams) {
-            const home = this.parts.homes.tryGetHome(upstream);
-            if (home !== undefined && home !== decisions.SelfInstance) {
-                byHome.set(home, [...(byHome.get(home) ?? []), upstream]);
+            const coordinator = this.parts.homes.tryGetCoordinator(upstream);
+            if (coordinator !== undefined && coordinator !== decisions.SelfInstance) {
+                byCoordinator.set(coordinator, [...(byCoordinator.get(coordinator) ?? []), upstream]);
             }
         }
-        return byHome;
+        return byCoordinator;
     }
 
     private createNotice(upstreams: readonly core.UpstreamId[], isWhole: boolean): protocol.SlotUses {
@@ -238,8 +260,8 @@
         return { kind: protocol.MessageKind.SlotUses, isWhole, uses: listed };
     }
 
-    private takeNotice(message: protocol.SlotUses, from: core.InstanceId): void {
-        this.heard.set(from, this.clock.now());
+    private applyNotice(message: protocol.SlotUses, from: core.InstanceId): void {
+        this.lastNoticeAt.set(from, this.clock.now());
         if (message.isWhole) {
             this.board.removePeer(from);
         }
@@ -247,15 +269,15 @@
             this.grants.settle(from, upstream);
             this.board.setPeer(from, upstream, { online, batch });
         }
-        this.noteRoom();
+        this.notifySlotFreed();
     }
 
-    private noteRoom(): void {
-        this.lending.serveWaiting();
-        this.onRoom();
+    private notifySlotFreed(): void {
+        this.granting.serveWaiting();
+        this.onSlotFreed();
     }
 
-    /** Upstreams come and go; those without an own request have nothing to be told of. */
+    /** Upstreams come and go. There is nothing to report about those without requests of this member. */
     private forgetUnused(): void {
         for (const upstream of this.used) {
             const own = this.board.getOwn(upstream);
@@ -267,8 +289,8 @@
 
     private forgetSilentPeers(): void {
         const now = this.clock.now();
-        const limit = this.parts.homes.isLending() ? LentPeerSilenceMilliseconds : PeerSilenceMilliseconds;
-        for (const [peer, at] of this.heard) {
+        const limit = this.parts.homes.isLending() ? CoordinatedPeerExpiryMilliseconds : PeerExpiryMilliseconds;
+        for (const [peer, at] of this.lastNoticeAt) {
             if (now - at > limit) {
                 this.forgetPeer(peer);
             }
@@ -276,7 +298,7 @@
     }
 
     private forgetPeer(peer: core.InstanceId): void {
-        this.heard.delete(peer);
+        this.lastNoticeAt.delete(peer);
         this.board.removePeer(peer);
     }
 }
--- a/packages/gateway/src/storeReturn.ts
+++ b/packages/gateway/src/storeReturn.ts
@@ -3,14 +3,17 @@
 import * as gatewayLog from "./gatewayLog.js";
 import type * as storeWatcher from "./storeWatcher.js";
 
-/** Restarts of the watches are at least this far apart: a store that refuses calls for their number must not get more of them. */
-const RestartSpacingMilliseconds = 1_000;
+/**
+ * Minimum interval between restarts of the watches: a store that rejects calls because there are too many must not get
+ * more of them.
+ */
+const MinimumRestartIntervalMilliseconds = 1_000;
 
 /**
- * Has the watches begin anew when the store answers after a call that failed. Connections go silent together, and a watch, which
- * waits for long, is the last to notice: meanwhile this instance would route by an old configuration and use upstreams that are
- * leaving. Every call counts, whatever it was for, since the first one to find the silence has its connection replaced, and those
- * after it succeed.
+ * Restarts the watches when the store answers after a failed call. Connections go silent together, and a watch, which
+ * waits for long, is the last call to notice. Until then this instance would route by an old configuration and use
+ * upstreams that are leaving. Calls of every purpose are taken into account, since the first one that finds a silent
+ * connection has it replaced, and those after it succeed.
  */
 export class StoreReturn {
     private readonly watchers: storeWatcher.StoreWatcher[] = [];
@@ -27,7 +30,7 @@
         this.watchers.push(watcher);
     }
 
-    /** Learns from the end of a call to the store, as it ended and how long it took. */
+    /** Processes the outcome and duration of a store call that has ended. */
     noteStoreCall(call: string, outcome: string, milliseconds: number): void {
         const now = this.clock.now();
         if (!this.view.noteStoreCall(outcome, now - milliseconds, now)) {
@@ -37,7 +40,7 @@
         if (this.isRestartDue) {
             return;
         }
-        const wait = this.restartedAt + RestartSpacingMilliseconds - now;
+        const wait = this.restartedAt + MinimumRestartIntervalMilliseconds - now;
         if (wait <= 0) {
             this.restart();
             return;
--- a/packages/gateway/src/storeWatcher.ts
+++ b/packages/gateway/src/storeWatcher.ts
@@ -12,48 +12,52 @@
 
 export interface WatchedPrefix {
     readonly prefix: string;
-    /** How long one watch call waits; the longest time for which a silent connection goes unnoticed. */
+    /** Duration of one watch call, and the longest time for which a silent connection goes unnoticed. */
     readonly waitMilliseconds: number;
     /**
-     * Longest pause after changes that follow each other, so that they are taken by one call: in a fleet of hundreds each
-     * change wakes every member's watch, and their starts alone were a call for each pair of members. 0: none.
+     * Longest pause after consecutive changes, so that one call returns several of them. In a fleet of hundreds each
+     * change wakes every member's watch, and the starts of the members alone would cost a call for each pair of
+     * members. 0: none.
      */
     readonly longestGatherMilliseconds: number;
-    /** Pause after a change that comes by itself; the first of a series. Absent: none. */
+    /** Pause after a single change or the first one of a series. Absent: none. */
     readonly getShortestGatherMilliseconds?: () => number;
-    /** Whether it watches from its start; otherwise it lists once and waits for `setActive`. Absent: it watches. */
+    /** Whether it watches from the start. Otherwise it lists once and waits for `setActive`. Absent: it watches. */
     readonly isActive?: boolean;
-    /** Called when a watch with its whole wait has begun, to check by another call that the store is not silent. */
+    /** Called when a watch of full duration has begun, to check by another call that the store is not silent. */
     readonly onWatchBegun?: () => void;
     readonly applyListing: (listing: metadataStore.Listing) => void;
     readonly applyChanges: (entries: readonly types.StoreEntry[]) => void;
 }
 
-/** First pause in a series of changes; it doubles while they follow each other. */
-const FirstGatherMilliseconds = 50;
-/** Changes further apart than this don't belong together. */
-const SeriesMilliseconds = 1_500;
+/** First pause within a series of changes. It doubles while they follow each other. */
+const FirstSeriesGatherMilliseconds = 50;
+/** Changes further apart than this do not form a series. */
+const SeriesGapMilliseconds = 1_500;
 /** First and longest pause after a failed call. */
 const FirstPauseMilliseconds = 150;
 const LongestPauseMilliseconds = 1_000;
-/** Wait of a watch that follows a failed call. */
-const ProbeWaitMilliseconds = 100;
+/** Duration of a watch that follows a failed call. */
+const ProbeWatchMilliseconds = 100;
 
-/** Follows a prefix of the metadata store: lists it, then takes changes; lists again when history was dropped. */
+/**
+ * Follows a prefix of the metadata store: lists it, then watches for changes. Lists again when the store has dropped
+ * the history.
+ */
 export class StoreWatcher implements AsyncDisposable {
     private readonly stopper = new AbortController();
-    /** Aborted to end the call or the pause that goes on. */
-    private current = new AbortController();
+    /** Aborted to end the current call or pause. */
+    private currentAbort = new AbortController();
     private readonly pauses = new backoff.Backoff(FirstPauseMilliseconds, LongestPauseMilliseconds);
     private gatherMilliseconds = 0;
     private changedAt: core.MonotonicMilliseconds = -Infinity;
     private isReachable = true;
     private isActive: boolean;
-    private activated: () => void = () => undefined;
+    private resolveActivated: () => void = () => undefined;
     private isListed = false;
-    private listed: (() => void) | undefined;
-    /** Resolves after the first whole listing. */
-    readonly whenListed = new Promise<void>(resolve => (this.listed = resolve));
+    private resolveListed: (() => void) | undefined;
+    /** Resolves after the first complete listing. */
+    readonly whenListed = new Promise<void>(resolve => (this.resolveListed = resolve));
 
     constructor(
         private readonly parts: StoreWatcherParts,
@@ -62,11 +66,11 @@
         this.isActive = watched.isActive ?? true;
     }
 
-    /** The task: ends when it is disposed. */
+    /** The background task: ends when it is disposed. */
     async run(): Promise<void> {
         let revision: types.Revision | undefined;
         while (!this.stopper.signal.aborted) {
-            this.current = new AbortController();
+            this.currentAbort = new AbortController();
             if (revision !== undefined && !this.isActive) {
                 await this.waitUntilActive();
                 revision = this.isListed ? revision : undefined;
@@ -91,22 +95,25 @@
                 continue;
             }
             this.noteReachable(false, result.failure.text);
-            await this.parts.clock.sleep(this.pauses.next(), this.current.signal);
+            await this.parts.clock.sleep(this.pauses.next(), this.currentAbort.signal);
         }
     }
 
-    /** Ends the watch, or begins one. After an earlier watch has ended, what peers passed on meanwhile is checked by a listing. */
+    /**
+     * Ends the watch, or begins one. After an earlier watch has ended, a listing verifies the entries that peers sent
+     * in the meantime.
+     */
     setActive(isActive: boolean): void {
         if (isActive === this.isActive) {
             return;
         }
         this.isActive = isActive;
         if (isActive) {
-            this.activated();
+            this.resolveActivated();
         }
         else {
             this.isListed = false;
-            this.current.abort();
+            this.currentAbort.abort();
         }
     }
 
@@ -115,22 +122,22 @@
         return this.isActive && this.isListed && this.isReachable;
     }
 
-    /** Begins the watch anew, on another connection, and ends the pause after a failure. */
+    /** Begins the watch again on another connection, and ends the pause after a failure. */
     restart(): void {
-        // The long pause of a past outage would otherwise follow the next single failure.
+        // Otherwise the long pause of a past outage would follow the next single failure.
         this.pauses.reset();
-        this.current.abort();
+        this.currentAbort.abort();
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
         this.stopper.abort();
-        this.current.abort();
-        this.activated();
+        this.currentAbort.abort();
+        this.resolveActivated();
     }
 
     private async waitUntilActive(): Promise<void> {
         await new Promise<void>(resolve => {
-            this.activated = resolve;
+            this.resolveActivated = resolve;
             if (this.stopper.signal.aborted) {
                 resolve();
             }
@@ -144,20 +151,21 @@
         }
         this.watched.applyListing(result.value);
         this.isListed = true;
-        this.listed?.();
+        this.resolveListed?.();
         return { ok: true, value: result.value.revision };
     }
 
     /**
-     * A store that answers nobody never answers what was begun meanwhile either: a whole watch would be waited for long after
-     * its return, while changes pass unseen. So the first one after a failure is short, until one is answered.
+     * A store that is silent never answers the calls that begin meanwhile. A watch of full duration would be waited for
+     * long after the store's recovery, while changes go unnoticed. So the first watch after a failure is short, until
+     * one is answered.
      */
     private async watchOnce(revision: types.Revision): Promise<metadataStore.StoreResult<types.Revision>> {
         const answer = this.parts.store.watch(
             this.watched.prefix,
             revision,
-            this.isReachable ? this.watched.waitMilliseconds : ProbeWaitMilliseconds,
-            this.current.signal,
+            this.isReachable ? this.watched.waitMilliseconds : ProbeWatchMilliseconds,
+            this.currentAbort.signal,
         );
         if (this.isReachable) {
             this.watched.onWatchBegun?.();
@@ -173,13 +181,13 @@
         return { ok: true, value: Math.max(revision, result.value.revision) };
     }
 
-    /** Waits for more changes where some have come shortly before. */
+    /** Waits for more changes if others arrived shortly before. */
     private async gather(): Promise<void> {
         const now = this.parts.clock.now();
-        const isSeries = now - this.changedAt <= SeriesMilliseconds;
-        const longer = Math.max(FirstGatherMilliseconds, this.gatherMilliseconds * 2);
+        const isSeries = now - this.changedAt <= SeriesGapMilliseconds;
+        const doubled = Math.max(FirstSeriesGatherMilliseconds, this.gatherMilliseconds * 2);
         const shortest = this.watched.getShortestGatherMilliseconds?.() ?? 0;
-        this.gatherMilliseconds = isSeries ? Math.min(this.watched.longestGatherMilliseconds, longer) : shortest;
+        this.gatherMilliseconds = isSeries ? Math.min(this.watched.longestGatherMilliseconds, doubled) : shortest;
         this.changedAt = now;
         if (this.gatherMilliseconds > 0) {
             await this.parts.clock.sleep(this.gatherMilliseconds, this.stopper.signal);
--- a/packages/gateway/src/watchDuty.ts
+++ b/packages/gateway/src/watchDuty.ts
@@ -1,25 +1,32 @@
 import type * as core from "@boragedale/core";
 import * as decisions from "@boragedale/decisions";
 import type * as fleetView from "./fleetView.js";
-import * as homeDirectory from "./homeDirectory.js";
+import * as coordinatorDirectory from "./homeDirectory.js";
 import type * as memberDirectory from "./memberDirectory.js";
 
-/** Members of each data centre that watch the store in a large fleet; the others hear of changes from them. */
+/** Members of each data centre that watch the store in a large fleet. The others receive changes from them. */
 const WatchersPerDataCentre = 3;
-/** Ranks the members of a data centre; all of them compute the same order. */
+/** Hash key for ranking the members of a data centre. All of them compute the same order. */
 const RankKey = "watch";
-/** A watching member that was heard of within this time passes changes on: heartbeats come each second. */
-export const HeardMilliseconds = 1_100;
+/**
+ * A watching member whose heartbeat arrived within this time is taken to pass changes on. Heartbeats are sent every
+ * second.
+ */
+export const WatcherAliveMilliseconds = 1_100;
 /** Time without a heartbeat of any watching member after which a member watches the store itself. */
-const UnheardMilliseconds = 1_400;
-/** Once begun, a watch of a member's own lasts at least this long: links that flap must not cost a listing each time. */
-const OwnWatchMilliseconds = 10_000;
+const WatchersLostMilliseconds = 1_400;
+/**
+ * Minimum duration of a watch that a member begins because no watching member reaches it: unstable links must not cost
+ * a listing each time.
+ */
+const MinimumOwnWatchMilliseconds = 10_000;
 /**
- * The store must have answered this member for so long, and a random time more, before it watches by itself. After an outage the
- * watching members are heard of again first, and hundreds of others don't list at its end.
+ * The store must have answered this member for this time, plus a random one, before the member watches without being
+ * assigned. After an outage the heartbeats of the watching members arrive first, so that hundreds of other members do
+ * not list the store at its end.
  */
-const StoreSettledMilliseconds = 1_500;
-const SpreadMilliseconds = 1_000;
+const StoreStableMilliseconds = 1_500;
+const JitterMilliseconds = 1_000;
 
 /** Why a member watches the store, or does not. */
 export enum WatchReason {
@@ -27,25 +34,25 @@
     SmallFleet = "SmallFleet",
     /** One of the watching members of its data centre. */
     Assigned = "Assigned",
-    /** No watching member is heard of. */
+    /** No heartbeat of a watching member arrives. */
     Unheard = "Unheard",
-    /** It hears of changes from the watching members. */
+    /** It receives changes from the watching members. */
     Following = "Following",
 }
 
 /**
- * Decides which members watch the store. Load: hundreds of members, each change of which would wake the watches of all others, a
- * call for each pair. Pure but for the members and the view that it reads.
+ * Decides which members watch the store. With hundreds of watching members, each change would wake the watches of all
+ * others, which costs a call for each pair of members. Pure apart from reading the members and the view.
  */
 export class WatchDuty {
-    private heardAt: core.MonotonicMilliseconds;
-    /** When each watching member was last heard of. */
-    private readonly watching = new Map<core.InstanceId, core.MonotonicMilliseconds>();
-    /** Computed when first asked for after a change of the members. */
+    private heartbeatAt: core.MonotonicMilliseconds;
+    /** When the last heartbeat of each watching member arrived. */
+    private readonly heartbeats = new Map<core.InstanceId, core.MonotonicMilliseconds>();
+    /** Computed on first use after a change of the members. */
     private watchers: readonly core.InstanceId[] | undefined;
     private isLarge: boolean | undefined;
     private ownWatchUntil: core.MonotonicMilliseconds = -Infinity;
-    private readonly spread: number;
+    private readonly jitterMilliseconds: number;
 
     constructor(
         private readonly members: memberDirectory.MemberDirectory,
@@ -53,29 +60,29 @@
         startedAt: core.MonotonicMilliseconds,
         random: () => number,
     ) {
-        this.heardAt = startedAt;
-        this.spread = random() * SpreadMilliseconds;
-        members.onChange(gone => {
-            gone.forEach(id => this.watching.delete(id));
+        this.heartbeatAt = startedAt;
+        this.jitterMilliseconds = random() * JitterMilliseconds;
+        members.onChange(removed => {
+            removed.forEach(id => this.heartbeats.delete(id));
             this.watchers = undefined;
             this.isLarge = undefined;
         });
     }
 
     isLargeFleet(): boolean {
-        this.isLarge ??= this.members.countOtherInstances() > homeDirectory.NeighbourCount;
+        this.isLarge ??= this.members.countOtherInstances() > coordinatorDirectory.NeighbourCount;
         return this.isLarge;
     }
 
-    /** A watching member's heartbeat has arrived. */
-    recordHeard(peer: core.InstanceId, now: core.MonotonicMilliseconds): void {
-        this.heardAt = now;
-        this.watching.set(peer, now);
+    /** Records the heartbeat of a watching member. */
+    recordHeartbeat(peer: core.InstanceId, now: core.MonotonicMilliseconds): void {
+        this.heartbeatAt = now;
+        this.heartbeats.set(peer, now);
     }
 
-    /** Time since a watching member was heard of, in milliseconds. */
-    getUnheardMilliseconds(now: core.MonotonicMilliseconds): number {
-        return now - this.heardAt;
+    /** Time since the last heartbeat of a watching member. */
+    getMillisecondsSinceHeartbeat(now: core.MonotonicMilliseconds): number {
+        return now - this.heartbeatAt;
     }
 
     decide(now: core.MonotonicMilliseconds): WatchReason {
@@ -85,8 +92,8 @@
         if (this.getWatchers().includes(this.members.self.id)) {
             return WatchReason.Assigned;
         }
-        if (this.getUnheardMilliseconds(now) > UnheardMilliseconds && this.isStoreSettled(now)) {
-            this.ownWatchUntil = now + OwnWatchMilliseconds;
+        if (this.getMillisecondsSinceHeartbeat(now) > WatchersLostMilliseconds && this.isStoreStable(now)) {
+            this.ownWatchUntil = now + MinimumOwnWatchMilliseconds;
         }
         return now < this.ownWatchUntil ? WatchReason.Unheard : WatchReason.Following;
     }
@@ -97,23 +104,29 @@
         return this.watchers;
     }
 
-    /** Whether a change comes to this member by itself: it watches, or a watching member knows of it and is heard of. */
-    isUpdated(now: core.MonotonicMilliseconds): boolean {
+    /**
+     * Whether changes reach this member without a request: it watches, or it is listed and receives heartbeats of a
+     * watching member.
+     */
+    receivesUpdates(now: core.MonotonicMilliseconds): boolean {
         const watchers = this.getWatchers();
         return (
             watchers.includes(this.members.self.id) ||
-            (this.members.isListed() && watchers.some(id => this.isHeard(id, now)))
+            (this.members.isListed() && watchers.some(id => this.isWatcherAlive(id, now)))
         );
     }
 
-    /** Members that this one passes changes on to: each follower has one of those watching members that are heard of. */
+    /**
+     * Members that this one passes changes on to. Each follower is assigned to one of the watching members with recent
+     * heartbeats.
+     */
     getFollowers(now: core.MonotonicMilliseconds): readonly core.InstanceId[] {
         const { self } = this.members;
         const watchers = this.getWatchers();
         if (!watchers.includes(self.id)) {
             return [];
         }
-        const active = watchers.filter(id => id === self.id || this.isHeard(id, now));
+        const active = watchers.filter(id => id === self.id || this.isWatcherAlive(id, now));
         return this.members
             .getOthers()
             .filter(member => member.dataCentre === self.dataCentre && !watchers.includes(member.id))
@@ -129,12 +142,12 @@
         return decisions.chooseSubset(RankKey, near, WatchersPerDataCentre);
     }
 
-    private isHeard(watcher: core.InstanceId, now: core.MonotonicMilliseconds): boolean {
-        return now - (this.watching.get(watcher) ?? -Infinity) <= HeardMilliseconds;
+    private isWatcherAlive(watcher: core.InstanceId, now: core.MonotonicMilliseconds): boolean {
+        return now - (this.heartbeats.get(watcher) ?? -Infinity) <= WatcherAliveMilliseconds;
     }
 
-    private isStoreSettled(now: core.MonotonicMilliseconds): boolean {
-        const returnedAt = this.view.tryGetStoreReturn();
-        return returnedAt !== undefined && now - returnedAt > StoreSettledMilliseconds + this.spread;
+    private isStoreStable(now: core.MonotonicMilliseconds): boolean {
+        const returnedAt = this.view.tryGetStoreRecoveredAt();
+        return returnedAt !== undefined && now - returnedAt > StoreStableMilliseconds + this.jitterMilliseconds;
     }
 }
