--- a/packages/gateway/src/customerQuotas.ts
+++ b/packages/gateway/src/customerQuotas.ts
@@ -62,7 +62,7 @@
      * By customer: the time until which requests are rejected without asking, and the time at which the last rejected
      * caller retries.
      */
-    private readonly localRejections = new Map<string, { readonly until: number; returnsAt: number }>();
+    private readonly localRejections = new Map<string, { readonly until: number; retryAt: number }>();
     private readonly reach: quotaReach.QuotaReach;
 
     constructor(private readonly parts: CustomerQuotasParts) {
@@ -121,7 +121,7 @@
     private startLocalRejection({ customer, retryAfterMilliseconds }: QuotaDecision): void {
         const now = this.parts.clock.now();
         const until = now + Math.min(LocalRejectionMilliseconds, retryAfterMilliseconds);
-        this.localRejections.set(customer, { until, returnsAt: now + retryAfterMilliseconds });
+        this.localRejections.set(customer, { until, retryAt: now + retryAfterMilliseconds });
     }
 
     /**
@@ -135,11 +135,11 @@
             this.localRejections.delete(customer);
             return undefined;
         }
-        rejection.returnsAt = Math.min(
+        rejection.retryAt = Math.min(
             now + customers.LongestRetryMilliseconds,
-            rejection.returnsAt + 1_000 / limit.requestsPerSecond,
+            rejection.retryAt + 1_000 / limit.requestsPerSecond,
         );
-        const retryAfterMilliseconds = rejection.returnsAt - now;
+        const retryAfterMilliseconds = rejection.retryAt - now;
         return { isGranted: false, retryAfterMilliseconds, customer, decider: QuotaDecider.Held, keeper: undefined };
     }
 
--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -35,7 +35,7 @@
  * Time for which a removed entry stays in use while the store is unreliable. Living upstreams are listed again within
  * two seconds of the store's recovery. Without this, an outage in which leases expire would leave no upstream at all.
  */
-export const LapseHoldMilliseconds = 2_500;
+export const ExpiredLeaseHoldMilliseconds = 2_500;
 /**
  * Time for which removals are suspect after a failed store call: the platform's bound for a store to count as stable.
  */
@@ -84,7 +84,7 @@
     private readonly listeners = new Set<() => void>();
     /** Revisions of the complete listings, by prefix. */
     private readonly listedRevisions = new Map<string, types.Revision>();
-    private isCompleteByPeer = false;
+    private hasCompletePeerCopy = false;
     private readonly prefixes: readonly string[];
 
     constructor(
@@ -151,12 +151,12 @@
      * not show this: a notice of one late change raises it although everything before is missing.
      */
     isComplete(): boolean {
-        return this.isCompleteByPeer || this.tryGetListedRevision() !== undefined;
+        return this.hasCompletePeerCopy || this.tryGetListedRevision() !== undefined;
     }
 
     /** Records that a peer with a complete copy has sent all its entries. */
     noteWhole(): void {
-        this.isCompleteByPeer = true;
+        this.hasCompletePeerCopy = true;
     }
 
     onChange(listener: () => void): void {
@@ -199,7 +199,7 @@
         this.recoveredAt = undefined;
         this.suspectUntil = Math.max(this.suspectUntil, now + SuspicionMilliseconds);
         // An outage may last longer than a hold that was set during it.
-        this.forEachHeld(now, known => (known.heldUntil = this.suspectUntil + LapseHoldMilliseconds));
+        this.forEachHeld(now, known => (known.heldUntil = this.suspectUntil + ExpiredLeaseHoldMilliseconds));
     }
 
     /**
@@ -393,7 +393,9 @@
      */
     private chooseHeldUntil(service: string, key: string, now: core.MonotonicMilliseconds): core.MonotonicMilliseconds {
         if (this.isStoreSuspect(now)) {
-            return this.recoveredAt === undefined ? this.suspectUntil + LapseHoldMilliseconds : this.suspectUntil;
+            return this.recoveredAt === undefined
+                ? this.suspectUntil + ExpiredLeaseHoldMilliseconds
+                : this.suspectUntil;
         }
         while (this.removals.length > 0 && (this.removals[0]?.at ?? now) < now - MassRemovalWindowMilliseconds) {
             this.removals.shift();
--- a/packages/gateway/src/slotLending.ts
+++ b/packages/gateway/src/slotLending.ts
@@ -10,7 +10,7 @@
  * Coordinators that an online request asks before it joins the shortest known queue. With half of the coordinators
  * full, six find a free slot in 98 of 100 cases and cost at most a dozen milliseconds.
  */
-const MaximumOnlineRequests = 6;
+const MaximumCoordinatorsAsked = 6;
 /**
  * A coordinator answers within a few milliseconds. One that does not is slow or cut off, and must not delay the callers
  * of others.
@@ -20,7 +20,7 @@
 const BatchWaitMilliseconds = 600;
 const BatchTimeoutMilliseconds = BatchWaitMilliseconds + 200;
 /** Coordinators at which this member's items wait at the same time. */
-const MaximumBatchRequests = 6;
+const MaximumPendingBatchRequests = 6;
 /**
  * Requests of peers that wait here. More than all neighbours together send indicates a defect, and further ones are
  * rejected.
@@ -105,8 +105,8 @@
         const byCoordinator = this.groupByCoordinator(candidates);
         let best: GrantedSlotChoice | undefined =
             ownChoice === undefined ? undefined : { ...ownChoice, isCounted: false };
-        const requestedFrom = this.rank([...byCoordinator.keys()]).slice(0, MaximumOnlineRequests);
-        for (const coordinator of requestedFrom) {
+        const askedCoordinators = this.rank([...byCoordinator.keys()]).slice(0, MaximumCoordinatorsAsked);
+        for (const coordinator of askedCoordinators) {
             const choice = await this.requestOnlineSlot(
                 coordinator,
                 service,
@@ -119,7 +119,7 @@
                 best = choice;
             }
         }
-        if (requestedFrom.length === MaximumOnlineRequests) {
+        if (askedCoordinators.length === MaximumCoordinatorsAsked) {
             return best;
         }
         // If there are few links, as right after a start, engines of coordinators that cannot be asked are chosen by
@@ -142,7 +142,7 @@
         const coordinators = new Set(
             this.getLinkedCoordinators().filter(coordinator => !this.pendingBatchRequests.has(coordinator)),
         );
-        const requestCount = Math.min(wanted, MaximumBatchRequests) - this.pendingBatchRequests.size;
+        const requestCount = Math.min(wanted, MaximumPendingBatchRequests) - this.pendingBatchRequests.size;
         for (const coordinator of this.rank([...coordinators]).slice(0, Math.max(0, requestCount))) {
             void this.requestBatchSlot(coordinator, service, use);
         }
--- a/packages/gateway/src/slotSharing.ts
+++ b/packages/gateway/src/slotSharing.ts
@@ -11,7 +11,10 @@
  * the messages, and no queue forms because a free slot becomes known a little later.
  */
 const ReleasedNoticeDelayMilliseconds = 25;
-/** Interval at which the complete use is sent, so that lost notices are corrected and silent peers are detected. */
+/**
+ * Interval at which a member's complete slot use is sent, so that lost notices are corrected and silent peers are
+ * detected.
+ */
 const FullNoticeIntervalMilliseconds = 1_000;
 /**
  * The same where coordinators grant slots. They count granted slots themselves, and only the effects of lost messages
@@ -23,7 +26,7 @@
  * coordinator must not delay it.
  */
 const CoordinatorTimeoutMilliseconds = 80;
-/** A peer that sent no notice for this long has ended, is stopped or cut off, and its requests no longer count. */
+/** A peer that sent no notice for this long has ended, has stopped or is cut off, and its requests no longer count. */
 const PeerExpiryMilliseconds = 3_500;
 const CoordinatedPeerExpiryMilliseconds = 3 * CoordinatedFullNoticeIntervalMilliseconds;
 
@@ -43,9 +46,9 @@
  * grants the slots.
  */
 export class SlotSharing implements AsyncDisposable {
-    private readonly dirty = new Set<core.UpstreamId>();
+    private readonly changedUpstreams = new Set<core.UpstreamId>();
     private readonly lastNoticeAt = new Map<core.InstanceId, core.MonotonicMilliseconds>();
-    private readonly used = new Set<core.UpstreamId>();
+    private readonly usedUpstreams = new Set<core.UpstreamId>();
     private readonly stopper = new AbortController();
     private noticeDueAt: core.MonotonicMilliseconds = Infinity;
     private stopNotice: (() => void) | undefined;
@@ -128,7 +131,7 @@
     /** `isCounted`: the upstream's coordinator granted the slot and needs no notice of it. */
     take(upstream: core.UpstreamId, isBatch: boolean, isCounted = false): void {
         this.board.take(upstream, isBatch);
-        this.used.add(upstream);
+        this.usedUpstreams.add(upstream);
         if (!isCounted) {
             this.noteChange(upstream, TakenNoticeDelayMilliseconds);
         }
@@ -184,11 +187,11 @@
         return this.grant(decisions.SelfInstance, upstream, reserve);
     }
 
-    /** The background task that repeats the complete use. */
+    /** The background task that repeats the notice of the complete slot use, and drops silent peers. */
     async run(): Promise<void> {
         while (!this.stopper.signal.aborted) {
             this.forgetSilentPeers();
-            this.sendNotices([...this.used], true);
+            this.sendNotices([...this.usedUpstreams], true);
             this.forgetUnused();
             const areGranted = this.parts.homes.isLending();
             const interval = areGranted ? CoordinatedFullNoticeIntervalMilliseconds : FullNoticeIntervalMilliseconds;
@@ -210,8 +213,8 @@
     }
 
     private noteChange(upstream: core.UpstreamId, delay: number): void {
-        this.used.add(upstream);
-        this.dirty.add(upstream);
+        this.usedUpstreams.add(upstream);
+        this.changedUpstreams.add(upstream);
         const dueAt = this.clock.now() + delay;
         if (dueAt >= this.noticeDueAt) {
             return;
@@ -220,8 +223,8 @@
         this.noticeDueAt = dueAt;
         this.stopNotice = this.clock.schedule(delay, () => {
             this.noticeDueAt = Infinity;
-            const changed = [...this.dirty];
-            this.dirty.clear();
+            const changed = [...this.changedUpstreams];
+            this.changedUpstreams.clear();
             this.sendNotices(changed, false);
         });
     }
@@ -277,12 +280,12 @@
         this.onSlotFreed();
     }
 
-    /** Upstreams come and go. There is nothing to report about those without requests of this member. */
+    /** Forgets upstreams without requests of this member, about which there is nothing to report. */
     private forgetUnused(): void {
-        for (const upstream of this.used) {
+        for (const upstream of this.usedUpstreams) {
             const own = this.board.getOwn(upstream);
             if (own.online === 0 && own.batch === 0) {
-                this.used.delete(upstream);
+                this.usedUpstreams.delete(upstream);
             }
         }
     }
