--- a/packages/gateway/src/homeDirectory.ts
+++ b/packages/gateway/src/homeDirectory.ts
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Whether the fleet is too large for every member to know the use of every slot, so that coordinators grant them.
+     * Whether coordinators grant slots, because the fleet is too large for every member to know the use of every slot.
      */
     isLending(): boolean {
         return this.members.getOthers().length > NeighbourCount;
--- a/packages/gateway/test/slotLending.test.ts
+++ b/packages/gateway/test/slotLending.test.ts
@@ -118,8 +118,8 @@
     }
 });
 
-// All members send at once, as many requests as there are slots. Two members that see the same free slot must not both
-// be granted it.
+// All members send at once, almost as many requests as there are slots. Two members that see the same free slot must not
+// both be granted it.
 suite("members that ask at the same moment are granted different slots", async () => {
     const fleet = createFleet();
     for (let round = 0; round < Slots - 1; round++) {
