--- a/packages/gateway/src/answerRelay.ts
+++ b/packages/gateway/src/answerRelay.ts
@@ -3,23 +3,26 @@
 import * as upstreamExchange from "./upstreamExchange.js";
 import type * as wire from "./wire.js";
 
-/** What came of one attempt at one upstream. */
+/** Outcome of one attempt at one upstream. */
 export enum AttemptOutcomeKind {
-    /** The answer is with the caller, whole. */
+    /** The complete answer was sent to the caller. */
     Delivered = "Delivered",
-    /** An answer that says that the upstream failed; not passed on yet. */
+    /** The upstream answered with a server error, which has not been sent to the caller yet. */
     Failed = "Failed",
+    /** The upstream proved that it did not run the request. */
     NotRun = "NotRun",
+    /** No connection was established. */
     NotSent = "NotSent",
-    /** Broken off, or no answer to this request: it may have run. */
+    /** The connection broke or the answer was invalid. The request may have run. */
     Lost = "Lost",
-    /** No sign of life for longer than an upstream that works takes. */
+    /** No data arrived for longer than a working upstream takes. */
     Silent = "Silent",
-    /** This side stopped: the caller left or the deadline passed. */
+    /** The gateway stopped the attempt, because the caller disconnected or the deadline passed. */
     Stopped = "Stopped",
 }
 
-export interface HeldAnswer {
+/** A completely buffered answer. */
+export interface BufferedAnswer {
     readonly status: number;
     readonly statusText: string;
     readonly headers: string[];
@@ -27,14 +30,14 @@
 }
 
 export type AttemptOutcome =
-    | { readonly kind: AttemptOutcomeKind.Failed; readonly answer: HeldAnswer }
+    | { readonly kind: AttemptOutcomeKind.Failed; readonly answer: BufferedAnswer }
     | { readonly kind: Exclude<AttemptOutcomeKind, AttemptOutcomeKind.Failed>; readonly text: string };
 
-/** What the caller has got so far, over all attempts of one request. */
+/** What has been sent to the caller so far, over all attempts of a request. */
 export interface Delivery {
     readonly response: http.ServerResponse;
     isStarted: boolean;
-    /** Id of the last event that the caller has. */
+    /** Id of the last event sent to the caller. */
     lastEventId: number | undefined;
     firstByteAt: number | undefined;
 }
@@ -50,12 +53,12 @@
 }
 
 /**
- * Bodies up to this many bytes are held until they are whole, so that a request whose answer breaks off can be repeated
- * without the caller seeing a part.
+ * Maximum size of a body that is buffered until it is complete. As long as the caller has received nothing, a request whose
+ * answer breaks off can be repeated.
  */
-const LargestHeldBytes = 262_144;
+const MaximumBufferedBytes = 262_144;
 
-/** Passes one upstream's answer on to the caller, or finds out why it can't be. */
+/** Relays an upstream's answer to the caller, or determines why it can't be relayed. */
 export class AnswerRelay implements upstreamExchange.ExchangeHandler {
     readonly outcome: Promise<AttemptOutcome>;
     private exchange: upstreamExchange.RunningExchange | undefined;
@@ -65,9 +68,9 @@
     private statusText = "";
     private headers: string[] = [];
     private isNotRun = false;
-    private isPassedThrough = false;
-    private held: Buffer[] = [];
-    private heldBytes = 0;
+    private isUnbuffered = false;
+    private buffered: Buffer[] = [];
+    private bufferedBytes = 0;
     private splitter: eventSplitter.EventSplitter | undefined;
 
     constructor(private readonly options: RelayOptions) {
@@ -81,7 +84,7 @@
         }
     }
 
-    /** Ends the attempt from this side. */
+    /** Stops the attempt. */
     stop(kind: AttemptOutcomeKind.Stopped | AttemptOutcomeKind.Silent, text: string): void {
         this.settle({ kind, text });
         this.exchange?.abort();
@@ -101,11 +104,11 @@
         this.headers = rawHeaders;
         this.isNotRun = head.isNotRun;
         const isSuccess = status >= 200 && status < 300;
-        const isForeign = head.attemptId !== undefined && head.attemptId !== this.options.attemptId;
-        const isUnproved = isSuccess && (!head.isStamped || head.attemptId === undefined || head.isEncoded);
-        if (isForeign || isUnproved) {
-            // A late second answer to an earlier request on this connection, or bytes that are no answer of the upstream.
-            this.lose(isForeign ? "an answer to another request" : "an answer without proof");
+        const isForOtherAttempt = head.attemptId !== undefined && head.attemptId !== this.options.attemptId;
+        const isUnverified = isSuccess && (!head.isStamped || head.attemptId === undefined || head.isEncoded);
+        if (isForOtherAttempt || isUnverified) {
+            // A late second answer to an earlier request on this connection, or data that the upstream did not send.
+            this.fail(isForOtherAttempt ? "an answer to another request" : "an answer without proof");
             return;
         }
         if (isSuccess && this.options.isStream) {
@@ -120,18 +123,18 @@
         }
         this.options.onProgress();
         if (this.splitter !== undefined) {
-            return this.passEvents(this.splitter, data);
+            return this.relayEvents(this.splitter, data);
         }
-        if (this.isPassedThrough) {
+        if (this.isUnbuffered) {
             return this.write(data);
         }
-        this.held.push(data);
-        this.heldBytes += data.length;
+        this.buffered.push(data);
+        this.bufferedBytes += data.length;
         const isSuccess = this.status >= 200 && this.status < 300;
-        if (this.heldBytes > LargestHeldBytes && isSuccess) {
-            this.isPassedThrough = true;
-            const body = Buffer.concat(this.held);
-            this.held = [];
+        if (this.bufferedBytes > MaximumBufferedBytes && isSuccess) {
+            this.isUnbuffered = true;
+            const body = Buffer.concat(this.buffered);
+            this.buffered = [];
             this.start();
             return this.write(body);
         }
@@ -154,17 +157,17 @@
             status: this.status,
             statusText: this.statusText,
             headers: this.headers,
-            body: Buffer.concat(this.held),
+            body: Buffer.concat(this.buffered),
         };
         if (this.status >= 500) {
             this.settle({ kind: AttemptOutcomeKind.Failed, answer });
             return;
         }
-        if (this.isPassedThrough) {
+        if (this.isUnbuffered) {
             this.options.delivery.response.end();
         }
         else {
-            deliverHeld(this.options.wire, this.options.delivery, answer);
+            deliverBuffered(this.options.wire, this.options.delivery, answer);
         }
         this.settle({ kind: AttemptOutcomeKind.Delivered, text: `status ${this.status}` });
     }
@@ -175,7 +178,7 @@
                 this.settle({ kind: AttemptOutcomeKind.NotSent, text: failure.text });
                 return;
             case upstreamExchange.ExchangeFailureKind.Broken:
-                // A proof that it was not run holds also where the rest of that answer is cut off.
+                // The headers prove that the request did not run, even if the rest of the answer is missing.
                 this.settle({
                     kind: this.isNotRun ? AttemptOutcomeKind.NotRun : AttemptOutcomeKind.Lost,
                     text: failure.text,
@@ -187,31 +190,31 @@
         }
     }
 
-    private passEvents(splitter: eventSplitter.EventSplitter, data: Buffer): boolean {
-        const pieces = splitter.push(data);
-        if (pieces === undefined) {
-            this.lose("no event stream");
+    private relayEvents(splitter: eventSplitter.EventSplitter, data: Buffer): boolean {
+        const events = splitter.push(data);
+        if (events === undefined) {
+            this.fail("not an event stream");
             return true;
         }
         const delivery = this.options.delivery;
-        const passed: Buffer[] = [];
-        for (const piece of pieces) {
+        const accepted: Buffer[] = [];
+        for (const event of events) {
             const isGap =
-                piece.id !== undefined && delivery.lastEventId !== undefined && piece.id !== delivery.lastEventId + 1;
+                event.id !== undefined && delivery.lastEventId !== undefined && event.id !== delivery.lastEventId + 1;
             if (isGap) {
-                this.writeAll(passed);
-                this.lose(`event ${piece.id} after ${delivery.lastEventId}`);
+                this.writeAll(accepted);
+                this.fail(`event ${event.id} follows event ${delivery.lastEventId}`);
                 return true;
             }
-            delivery.lastEventId = piece.id ?? delivery.lastEventId;
-            passed.push(piece.bytes);
+            delivery.lastEventId = event.id ?? delivery.lastEventId;
+            accepted.push(event.bytes);
         }
-        return this.writeAll(passed);
+        return this.writeAll(accepted);
     }
 
     private completeStream(splitter: eventSplitter.EventSplitter): void {
-        if (splitter.getRest().length > 0) {
-            this.lose("ended within an event");
+        if (splitter.getRemainder().length > 0) {
+            this.fail("ended within an event");
             return;
         }
         this.start();
@@ -219,12 +222,12 @@
         this.settle({ kind: AttemptOutcomeKind.Delivered, text: `status ${this.status}` });
     }
 
-    private writeAll(pieces: readonly Buffer[]): boolean {
-        if (pieces.length === 0) {
+    private writeAll(chunks: readonly Buffer[]): boolean {
+        if (chunks.length === 0) {
             return true;
         }
         this.start();
-        return this.write(pieces.length === 1 && pieces[0] !== undefined ? pieces[0] : Buffer.concat(pieces));
+        return this.write(chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks));
     }
 
     private start(): void {
@@ -235,7 +238,7 @@
         delivery.isStarted = true;
         delivery.firstByteAt ??= this.options.now();
         const headers = this.options.wire.createReturnHeaders(this.headers);
-        // A stream may go on at another upstream, so its length is not the first one's to say.
+        // A stream may continue at another upstream, so the length that the first one announces may be wrong.
         delivery.response.writeHead(
             this.status,
             this.statusText,
@@ -252,7 +255,7 @@
         return false;
     }
 
-    private lose(text: string): void {
+    private fail(text: string): void {
         this.settle({ kind: AttemptOutcomeKind.Lost, text });
         this.exchange?.abort();
     }
@@ -265,8 +268,8 @@
     }
 }
 
-/** Gives the caller an answer that was held back whole. */
-export function deliverHeld(callerWire: wire.CallerWire, delivery: Delivery, answer: HeldAnswer): void {
+/** Sends a buffered answer to the caller. */
+export function deliverBuffered(callerWire: wire.CallerWire, delivery: Delivery, answer: BufferedAnswer): void {
     delivery.isStarted = true;
     const headers = dropContentLength(callerWire.createReturnHeaders(answer.headers));
     const hasBody = answer.status !== 204 && answer.status !== 304;
--- a/packages/gateway/src/callerIdentity.ts
+++ b/packages/gateway/src/callerIdentity.ts
@@ -1,30 +1,31 @@
 import * as customers from "@boragedale/customers";
 import type * as fleetView from "./fleetView.js";
 
+/** Dependencies of `CallerIdentity`. */
 export interface CallerIdentityParts {
     readonly view: fleetView.FleetView;
-    /** Looks whether the operators have written a later configuration. */
+    /** Reads the configuration from the store again, in case the operators have changed it. */
     readonly refreshConfiguration: () => Promise<void>;
 }
 
-/** Whose request it is, as the configuration in force says. */
+/** Identifies the customer of a request by the current configuration. */
 export class CallerIdentity {
     constructor(private readonly parts: CallerIdentityParts) {}
 
     /**
-     * An unknown key may be one that was added a moment ago: the store is looked at before its caller is turned away for good.
-     * `refreshConfiguration` bounds how often, so that wrong keys are no load on the store.
+     * Refreshes the configuration if the key is unknown: the key may have just been added, and callers don't retry after a
+     * rejection. `refreshConfiguration` limits its own rate, so that wrong keys don't load the store.
      */
     async identify(rawHeaders: readonly string[], isPublic: boolean): Promise<customers.Identity> {
-        const identity = this.identifyNow(rawHeaders, isPublic);
+        const identity = this.identifyFromCurrent(rawHeaders, isPublic);
         if (identity.kind !== customers.IdentityKind.UnknownKey) {
             return identity;
         }
         await this.parts.refreshConfiguration();
-        return this.identifyNow(rawHeaders, isPublic);
+        return this.identifyFromCurrent(rawHeaders, isPublic);
     }
 
-    private identifyNow(rawHeaders: readonly string[], isPublic: boolean): customers.Identity {
+    private identifyFromCurrent(rawHeaders: readonly string[], isPublic: boolean): customers.Identity {
         const directory = this.parts.view.getCustomers();
         return directory?.identify(rawHeaders, isPublic) ?? { kind: customers.IdentityKind.Anonymous };
     }
@@ -34,7 +35,7 @@
     return identity.kind === customers.IdentityKind.Customer || identity.kind === customers.IdentityKind.Anonymous;
 }
 
-/** The customer of an accepted request; undefined where it needed no key. */
+/** The customer of an accepted request; undefined if the request needed no key. */
 export function tryGetCustomer(identity: customers.Identity): customers.Customer | undefined {
     return identity.kind === customers.IdentityKind.Customer ? identity.customer : undefined;
 }
--- a/packages/gateway/src/crashWatch.ts
+++ b/packages/gateway/src/crashWatch.ts
@@ -5,17 +5,17 @@
 import * as gatewayLog from "./gatewayLog.js";
 import type * as types from "./types.js";
 
-/** Whether an upstream can be connected to; a test answers without sockets. */
+/** Checks whether an upstream accepts connections. Tests replace it. */
 export type Probe = (address: string) => Promise<boolean>;
 
-/** Deaths that prove a request guilty: the platform allows three upstreams to be lost to one. */
+/** Crashed upstreams after which a request is quarantined: the platform allows one request to crash three. */
 const DeathsToQuarantine = 3;
-/** Time to connect to an upstream that lives: a few milliseconds, and whatever a full queue of connections adds. */
-const ProbeMilliseconds = 300;
+/** A running upstream accepts a connection within a few milliseconds; the rest allows for a full connection queue. */
+const ProbeTimeoutMilliseconds = 300;
 
-/** Finds requests that crash the upstreams that run them, together with the other members. */
+/** Detects requests that crash upstreams. Members share their suspicions. */
 export class CrashWatch {
-    readonly registry = new decisions.SuspectRegistry(DeathsToQuarantine);
+    readonly suspects = new decisions.SuspectRegistry(DeathsToQuarantine);
     private readonly probes = new Map<core.UpstreamId, Promise<void>>();
 
     constructor(
@@ -26,30 +26,30 @@
     ) {
         network.handle(protocol.MessageKind.SuspectReport, async message => {
             const report = { fingerprint: message.fingerprint, deathsByUpstream: message.deathsByUpstream ?? {} };
-            this.registry.merge(report, clock.now());
+            this.suspects.merge(report, clock.now());
             return undefined;
         });
     }
 
     /**
-     * A connection broke while a request ran. That alone is no death: connections are reset on the way too. One that can't be
-     * connected to again has died, and all that it ran becomes suspect. Call before the request's own end is told to the
-     * registry; resolves once it is known.
+     * Call when a connection breaks while a request runs, before reporting the end of the request to the registry. A broken
+     * connection alone doesn't prove a crash, since connections are also reset by the network. If the upstream refuses a new
+     * connection, it has crashed, and all requests that it ran become suspect. Resolves when the check is complete.
      */
     async onBroken(upstream: types.UpstreamEntry): Promise<void> {
         let running = this.probes.get(upstream.id);
         if (running === undefined) {
-            running = this.look(upstream).finally(() => this.probes.delete(upstream.id));
+            running = this.runProbe(upstream).finally(() => this.probes.delete(upstream.id));
             this.probes.set(upstream.id, running);
         }
         return running;
     }
 
-    private async look(upstream: types.UpstreamEntry): Promise<void> {
+    private async runProbe(upstream: types.UpstreamEntry): Promise<void> {
         if (await this.probe(upstream.address)) {
             return;
         }
-        const reports = this.registry.onUpstreamDied(upstream.id, this.clock.now());
+        const reports = this.suspects.onUpstreamDied(upstream.id, this.clock.now());
         this.log.note(gatewayLog.GatewayEvent.UpstreamDied, { upstream: upstream.id, suspects: reports.length });
         for (const { fingerprint, deathsByUpstream } of reports) {
             const deaths = Object.values(deathsByUpstream).reduce((sum, count) => sum + count, 0);
@@ -59,7 +59,7 @@
     }
 }
 
-/** Same path and body, same fingerprint: a caller that sends its request again has a new attempt id. */
+/** Identifies a request across attempts by path and body. The attempt id is new whenever a caller repeats its request. */
 export function createFingerprint(target: string, body: Uint8Array): string {
     return `${decisions.hashText(target)}-${decisions.hashBytes(body)}-${body.length}`;
 }
@@ -72,7 +72,7 @@
             socket.destroy();
             resolve(isAlive);
         };
-        socket.setTimeout(ProbeMilliseconds, () => finish(false));
+        socket.setTimeout(ProbeTimeoutMilliseconds, () => finish(false));
         socket.once("connect", () => finish(true));
         socket.once("error", () => finish(false));
     });
--- a/packages/gateway/src/eventSplitter.ts
+++ b/packages/gateway/src/eventSplitter.ts
@@ -1,43 +1,43 @@
-/** A whole event of a stream: its bytes as they came, and its id where it has one. */
-export interface EventPiece {
+/** A complete event of a stream: its bytes as received, and its id if it has one. */
+export interface RawEvent {
     readonly bytes: Buffer;
     readonly id: number | undefined;
 }
 
 const LineFeed = 0x0a;
 const CarriageReturn = 0x0d;
-/** An event without an end is no event stream; more than this is never buffered. */
-const LargestEventBytes = 1_048_576;
+/** Maximum size of an event. A stream with a longer one is rejected as not an event stream, which bounds the buffer. */
+const MaximumEventBytes = 1_048_576;
 
 /**
- * Cuts a byte stream into events and keeps their bytes as they are. A parser library gives decoded fields, which can't be
- * turned back into the same bytes; callers are owed the upstream's own. Only whole events leave, so that a stream that
- * breaks in the middle of one can go on at another upstream.
+ * Splits a byte stream into events without changing their bytes, since callers must receive exactly what the upstream sent. A
+ * parser library returns decoded fields, which can't be encoded to the same bytes again. Only complete events are returned, so
+ * that a stream that breaks within an event can be continued at another upstream.
  */
 export class EventSplitter {
-    private rest: Buffer = Buffer.alloc(0);
+    private remainder: Buffer = Buffer.alloc(0);
 
-    /** Whole events in what has come so far; undefined where it can't be an event stream. */
-    push(data: Buffer): EventPiece[] | undefined {
-        let buffer = this.rest.length === 0 ? data : Buffer.concat([this.rest, data]);
-        const pieces: EventPiece[] = [];
-        for (let end = findEnd(buffer); end > 0; end = findEnd(buffer)) {
+    /** Returns the events that `data` completes, or undefined if the data is not an event stream. */
+    push(data: Buffer): RawEvent[] | undefined {
+        let buffer = this.remainder.length === 0 ? data : Buffer.concat([this.remainder, data]);
+        const events: RawEvent[] = [];
+        for (let end = findEventEnd(buffer); end > 0; end = findEventEnd(buffer)) {
             const bytes = buffer.subarray(0, end);
-            pieces.push({ bytes, id: tryReadId(bytes) });
+            events.push({ bytes, id: tryReadId(bytes) });
             buffer = buffer.subarray(end);
         }
-        this.rest = buffer;
-        return buffer.length > LargestEventBytes ? undefined : pieces;
+        this.remainder = buffer;
+        return buffer.length > MaximumEventBytes ? undefined : events;
     }
 
-    /** Bytes after the last whole event. */
-    getRest(): Buffer {
-        return this.rest;
+    /** Bytes after the last complete event. */
+    getRemainder(): Buffer {
+        return this.remainder;
     }
 }
 
-/** Index after the blank line that ends the first event; 0 without one. */
-function findEnd(buffer: Buffer): number {
+/** Returns the index after the blank line that ends the first event, or 0 if there is none. */
+function findEventEnd(buffer: Buffer): number {
     for (let index = buffer.indexOf(LineFeed); index >= 0; index = buffer.indexOf(LineFeed, index + 1)) {
         if (buffer[index + 1] === LineFeed) {
             return index + 2;
--- a/packages/gateway/src/gatewayLog.ts
+++ b/packages/gateway/src/gatewayLog.ts
@@ -1,25 +1,26 @@
 import type * as core from "@boragedale/core";
 import type * as types from "./types.js";
 
-/** What a line about a request needs; the forwarder's own state fits. */
+/** Properties of a request that log lines use. */
 export interface LoggedRequest {
     readonly head: types.RequestHead;
     readonly route: types.Route;
     readonly arrivedAt: core.MonotonicMilliseconds;
 }
 
+/** State of a request that log lines use: attempts so far, and delivery to the caller. */
 export interface LoggedProgress {
     readonly runs: number;
     readonly sends: number;
     readonly delivery: { readonly firstByteAt: number | undefined };
-    /** Requests that were believed to be at the upstream when it was chosen. */
+    /** Estimated number of requests at the upstream at the time it was chosen. */
     readonly believed: { readonly online: number; readonly batch: number };
 }
 
-/** Fields of a log line besides its number and name. */
+/** Fields of a log line, other than the event's number and name. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Where the gateway tells what it decides and why; the daemon binds it to log, counters and histograms. */
+/** Receives the gateway's decisions and their reasons. The daemon implements it with log, counters and histograms. */
 export abstract class GatewayLog {
     abstract finished(request: LoggedRequest, text: string, upstream: core.UpstreamId, progress: LoggedProgress): void;
     abstract refused(
@@ -35,11 +36,11 @@
         text: string,
         isRepeated: boolean,
     ): void;
-    /** Anything else that changes what this instance believes. */
+    /** Logs any other event. */
     abstract note(event: GatewayEvent, fields: LogFields): void;
 }
 
-/** Events of the gateway besides those of a request; the numbers stand in the telemetry catalogue. */
+/** Events of the gateway other than those of a request. Their numbers are in the telemetry catalogue. */
 export enum GatewayEvent {
     StoreLost = "StoreLost",
     StoreRegained = "StoreRegained",
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Forwards raw requests to upstreams and runs submissions of batch work, over a metadata store. */
+/** Forwards callers' requests to upstreams and runs submissions of batch items. Shared state is kept in a metadata store. */
 export * from "./types.js";
 export * from "./wire.js";
 export * from "./metadataStore.js";
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -11,6 +11,7 @@
 import * as types from "./types.js";
 import type * as wire from "./wire.js";
 
+/** Dependencies of `RequestForwarder`. */
 export interface ForwarderParts {
     readonly wire: wire.CallerWire;
     readonly view: fleetView.FleetView;
@@ -23,7 +24,7 @@
     readonly random: () => number;
 }
 
-/** A request that was read whole, with all that decides how long and how often it may be tried. */
+/** A completely read request, with the route and deadline that limit its attempts. */
 export interface ReadRequest {
     readonly raw: types.RawRequest;
     readonly head: types.RequestHead;
@@ -31,65 +32,69 @@
     readonly body: Buffer;
     readonly arrivedAt: core.MonotonicMilliseconds;
     readonly deadline: core.MonotonicMilliseconds;
-    /** Name of the customer whose request it is; undefined where it needed no key. */
+    /** Name of the customer; undefined if the request needed no key. */
     readonly customer: string | undefined;
 }
 
+/** State of a request over all its attempts. */
 interface Progress {
     readonly request: ReadRequest;
-    /** The same for each attempt of the same request, also of the caller's own. */
+    /** Identical for all attempts of the same request, including the caller's own retries. */
     readonly fingerprint: string;
     readonly delivery: answerRelay.Delivery;
     readonly tried: Set<core.UpstreamId>;
+    /** Attempts that may have run at an upstream. */
     runs: number;
+    /** Attempts started, including those that provably did not run. */
     sends: number;
     relay: answerRelay.AnswerRelay | undefined;
-    isCallerGone: boolean;
+    isCallerDisconnected: boolean;
     isTimedOut: boolean;
-    /** What was believed of the chosen upstream when it was chosen. */
+    /** Estimated number of requests at the chosen upstream at the time it was chosen. */
     believed: decisions.SlotUse;
-    /** Upstreams of the service when it was chosen. */
+    /** Number of usable upstreams of the service at the time the upstream was chosen. */
     knownUpstreams: number;
 }
 
-/** Where the next attempt goes. */
+/** The upstream of the next attempt. */
 interface Placement {
     readonly upstream: types.UpstreamEntry;
-    /** Whether the upstream's home counts the place already. */
+    /** Whether the upstream's coordinator has already counted the slot as used by this member. */
     readonly isCounted: boolean;
 }
 
 /**
- * Silence after which a repeatable request goes elsewhere, as a share of what is left of its time: late enough that a
- * working upstream has answered, early enough that a second one still can.
+ * Share of the remaining time after which a repeatable request without an answer goes to another upstream: late enough for a
+ * working upstream to answer, and early enough for a second one to do so.
  */
-const SilentShare = 0.4;
-/** A stream that may be resumed is taken up elsewhere after this much silence: engines send an event each 30 ms. */
-const SilentStreamMilliseconds = 800;
+const SilenceShare = 0.4;
+/** Silence after which a resumable stream continues at another upstream. Engines send an event every 30 ms. */
+const StreamSilenceMilliseconds = 800;
 const GatewayTimeoutStatus = 504;
-/** A first event that is so many latency targets late, from a place that was free, is a failure of the upstream. */
-const OverdueFactor = 2;
-/** First guesses until durations have been seen: a stream's time in a place, and time to its first event. */
-const FirstServiceMilliseconds = 800;
-const FirstAnswerMilliseconds = 70;
-/** Weight of a new duration in the running mean. */
+/** If a stream had a free slot, no first event within this multiple of the latency target counts as an upstream failure. */
+const FirstEventOverdueFactor = 2;
+/** Estimated time that a request occupies a slot, until durations have been recorded. */
+const InitialServiceMilliseconds = 800;
+/** Estimated time to the first event. */
+const ExpectedFirstAnswerMilliseconds = 70;
+/** Weight of a new duration in the moving average. */
 const MeanWeight = 0.1;
-/** An upstream that refused as full is left out for this long: about the time in which one of its places comes free. */
+/** Time for which an upstream that rejected a request as full is avoided: about the time until one of its slots is free. */
 const FullPenaltyMilliseconds = 60;
-/** An upstream that could not be reached is left out for this long; a crashed one is back after seconds. */
+/** Time for which an unreachable upstream is avoided. A crashed upstream restarts within seconds. */
 const UnreachablePenaltyMilliseconds = 1_000;
-/** When to come back where no upstream is known or reachable. */
+/** Retry delay given to callers if no upstream is known or reachable. */
 const NoUpstreamRetryMilliseconds = 500;
 
-/** Forwards one request: chooses an upstream, passes the answer on, repeats where that is allowed. */
+/** Forwards requests: chooses an upstream, relays its answer to the caller, and repeats failed attempts where that is allowed. */
 export class RequestForwarder {
-    private readonly serviceMeans = new Map<string, number>();
-    /** By service: how many upstreams may be avoided at a time is a share of one service's. */
-    private readonly failures = new Map<string, decisions.FailureWatch>();
+    private readonly meanServiceMilliseconds = new Map<string, number>();
+    /** By service, since the number of upstreams avoided at the same time is limited to a share of the service's upstreams. */
+    private readonly failureWatches = new Map<string, decisions.FailureWatch>();
 
     constructor(private readonly parts: ForwarderParts) {}
 
-    /** Resolves when the request is over, to whether an upstream may have run it. */
+    /** Resolves when the request has ended, to whether an upstream may have run it. */
     async forward(request: ReadRequest, response: http.ServerResponse): Promise<boolean> {
         const delivery = { response, isStarted: false, lastEventId: undefined, firstByteAt: undefined };
         const progress: Progress = {
@@ -100,15 +105,15 @@
             runs: 0,
             sends: 0,
             relay: undefined,
-            isCallerGone: response.destroyed,
+            isCallerDisconnected: response.destroyed,
             isTimedOut: false,
             believed: { online: 0, batch: 0 },
             knownUpstreams: 0,
         };
         const onClose = (): void => {
             if (!response.writableFinished) {
-                progress.isCallerGone = true;
-                progress.relay?.stop(answerRelay.AttemptOutcomeKind.Stopped, "the caller left");
+                progress.isCallerDisconnected = true;
+                progress.relay?.stop(answerRelay.AttemptOutcomeKind.Stopped, "the caller disconnected");
             }
         };
         response.once("close", onClose);
@@ -128,52 +133,54 @@
 
     private async run(progress: Progress): Promise<void> {
         for (;;) {
-            const placement = await this.tryChoose(progress);
+            const placement = await this.tryChoosePlacement(progress);
             if (placement === undefined) {
                 return;
             }
-            if (progress.isCallerGone || progress.isTimedOut) {
+            if (progress.isCallerDisconnected || progress.isTimedOut) {
                 this.abandon(progress, placement);
                 return;
             }
             const outcome = await this.attempt(progress, placement);
-            if (this.settle(progress, placement.upstream, outcome)) {
+            if (this.handleOutcome(progress, placement.upstream, outcome)) {
                 return;
             }
         }
     }
 
-    /** The caller left, or its time ran out, while a home was asked for the place: nothing is sent, and others get the place. */
+    /** Ends a request whose caller disconnected or whose deadline passed while a slot was requested, and returns the slot. */
     private abandon(progress: Progress, placement: Placement): void {
         const { id } = placement.upstream;
         if (placement.isCounted) {
             this.parts.slots.giveBack(id);
         }
-        if (progress.isCallerGone) {
-            this.parts.log.finished(progress.request, "the caller left", id, progress);
+        if (progress.isCallerDisconnected) {
+            this.parts.log.finished(progress.request, "the caller disconnected", id, progress);
             return;
         }
         this.refuse(progress, getTimeoutReason(progress), undefined, id);
     }
 
-    /** The upstream for the next attempt; undefined when the request was refused instead. */
-    private async tryChoose(progress: Progress): Promise<Placement | undefined> {
+    /** Chooses the upstream for the next attempt. If there is none, refuses the request and returns undefined. */
+    private async tryChoosePlacement(progress: Progress): Promise<Placement | undefined> {
         const { request } = progress;
         const now = this.parts.clock.now();
-        const suspicion = this.parts.crashes.registry.judge(progress.fingerprint, now);
+        const suspicion = this.parts.crashes.suspects.judge(progress.fingerprint, now);
         if (suspicion.verdict === decisions.SuspectVerdict.Quarantined) {
             const retryAfter = suspicion.retryAfterMilliseconds;
-            this.refuse(progress, types.RefusalReason.Quarantined, retryAfter, `${suspicion.deaths} upstreams died`);
+            this.refuse(progress, types.RefusalReason.Quarantined, retryAfter, `${suspicion.deaths} upstreams crashed`);
             return undefined;
         }
         const key = request.head.promptParts.at(-1) ?? request.head.attemptId;
         const service = routeTable.chooseService(request.route, key);
         const usable = service === undefined ? [] : this.parts.view.getUsable(service, now);
-        const fresh = usable.filter(upstream => !progress.tried.has(upstream.entry.id));
-        const untried = (fresh.length > 0 ? fresh : usable).map(upstream => upstream.entry);
-        // A suspect runs apart from other suspects where it can, so that the next death tells them apart.
-        const apart = untried.filter(entry => this.parts.crashes.registry.maySend(progress.fingerprint, entry.id, now));
-        const candidates = (apart.length > 0 ? apart : untried).map(entry => ({
+        const untried = usable.filter(upstream => !progress.tried.has(upstream.entry.id));
+        const preferred = (untried.length > 0 ? untried : usable).map(upstream => upstream.entry);
+        // A suspect request avoids upstreams that run other suspects, so that the next crash can be attributed to one of them.
+        const distinguishable = preferred.filter(entry =>
+            this.parts.crashes.suspects.maySend(progress.fingerprint, entry.id, now),
+        );
+        const candidates = (distinguishable.length > 0 ? distinguishable : preferred).map(entry => ({
             ...entry,
             hasIdleConnection: this.parts.channels.hasIdleConnection(entry),
         }));
@@ -191,8 +198,8 @@
         const outlook = {
             waiting: choice.waiting,
             slots: chosen.slots,
-            serviceMilliseconds: this.serviceMeans.get(service) ?? FirstServiceMilliseconds,
-            firstAnswerMilliseconds: FirstAnswerMilliseconds,
+            serviceMilliseconds: this.meanServiceMilliseconds.get(service) ?? InitialServiceMilliseconds,
+            firstAnswerMilliseconds: ExpectedFirstAnswerMilliseconds,
             latencyTargetMilliseconds: request.route.latencyTargetMilliseconds,
             remainingMilliseconds: request.deadline - now,
         };
@@ -202,7 +209,7 @@
                 progress,
                 types.RefusalReason.Overloaded,
                 verdict.retryAfterMilliseconds,
-                `${choice.waiting} wait at ${chosen.id}, ${candidates.length} candidates`,
+                `${choice.waiting} requests wait at ${chosen.id}, ${candidates.length} candidates`,
             );
             return undefined;
         }
@@ -221,12 +228,12 @@
         const lastEventId = delivery.lastEventId === undefined ? undefined : String(delivery.lastEventId);
         const startedAt = clock.now();
         const runsBefore = progress.runs;
-        let stopSilence = (): void => undefined;
-        const watchSilence = (): void => {
-            stopSilence();
+        let stopSilenceTimer = (): void => undefined;
+        const restartSilenceTimer = (): void => {
+            stopSilenceTimer();
             const limit = this.getSilenceLimit(progress, runsBefore);
             if (limit !== undefined) {
-                stopSilence = clock.schedule(limit, () =>
+                stopSilenceTimer = clock.schedule(limit, () =>
                     relay.stop(answerRelay.AttemptOutcomeKind.Silent, `silent for ${Math.round(limit)} ms`),
                 );
             }
@@ -238,13 +245,13 @@
             isStream: request.route.kind === types.RouteKind.Stream,
             now: () => clock.now(),
             onSent: () => progress.runs++,
-            onProgress: watchSilence,
+            onProgress: restartSilenceTimer,
         });
         progress.relay = relay;
         progress.sends++;
         progress.tried.add(upstream.id);
         this.parts.slots.take(upstream.id, false, placement.isCounted);
-        this.parts.crashes.registry.onSent(request.head.attemptId, progress.fingerprint, upstream.id, startedAt);
+        this.parts.crashes.suspects.onSent(request.head.attemptId, progress.fingerprint, upstream.id, startedAt);
         const headers = this.parts.wire.createForwardHeaders(request.raw.rawHeaders, {
             upstream: upstream.id,
             remainingMilliseconds: request.deadline - startedAt,
@@ -256,39 +263,43 @@
             .get(upstream)
             .start({ method: request.raw.method, target: request.raw.target, headers, body: toBody(request) }, relay);
         relay.attach(exchange);
-        watchSilence();
-        const stopOverdue = this.watchFirstEvent(progress, placement);
-        if (progress.isCallerGone || progress.isTimedOut) {
-            relay.stop(answerRelay.AttemptOutcomeKind.Stopped, "over before it was sent");
+        restartSilenceTimer();
+        const stopFirstEventTimer = this.watchFirstEvent(progress, placement);
+        if (progress.isCallerDisconnected || progress.isTimedOut) {
+            relay.stop(answerRelay.AttemptOutcomeKind.Stopped, "ended before it was sent");
         }
         const outcome = await relay.outcome;
-        stopSilence();
-        stopOverdue();
+        stopSilenceTimer();
+        stopFirstEventTimer();
         progress.relay = undefined;
         this.parts.slots.release(upstream.id, false);
-        this.noteEnd(progress, upstream, outcome);
-        await this.tellCrashWatch(progress, upstream, outcome);
+        this.recordOutcome(progress, upstream, outcome);
+        await this.reportToCrashWatch(progress, upstream, outcome);
         if (outcome.kind === answerRelay.AttemptOutcomeKind.Delivered) {
             this.recordDuration(upstream.service, clock.now() - startedAt);
         }
         return outcome;
     }
 
-    /** Whether the upstream failed the request; ends that only say that it was full, or that this side stopped, tell nothing. */
-    private noteEnd(progress: Progress, upstream: types.UpstreamEntry, outcome: answerRelay.AttemptOutcome): void {
+    /** Records an attempt as success or failure of the upstream. Rejections as full and stops by the gateway are neither. */
+    private recordOutcome(
+        progress: Progress,
+        upstream: types.UpstreamEntry,
+        outcome: answerRelay.AttemptOutcome,
+    ): void {
         switch (outcome.kind) {
             case answerRelay.AttemptOutcomeKind.Delivered:
-                this.noteFailure(progress, upstream, false);
+                this.recordResult(progress, upstream, false);
                 break;
             case answerRelay.AttemptOutcomeKind.Failed:
-                // At the deadline that it was given an upstream answers so too: a route with a short one would have sound upstreams avoided.
+                // Upstreams answer 504 when the request's deadline passes. On routes with a short timeout this is no fault of theirs.
                 if (outcome.answer.status !== GatewayTimeoutStatus) {
-                    this.noteFailure(progress, upstream, true);
+                    this.recordResult(progress, upstream, true);
                 }
                 break;
             case answerRelay.AttemptOutcomeKind.Lost:
             case answerRelay.AttemptOutcomeKind.Silent:
-                this.noteFailure(progress, upstream, true);
+                this.recordResult(progress, upstream, true);
                 break;
             case answerRelay.AttemptOutcomeKind.NotRun:
             case answerRelay.AttemptOutcomeKind.NotSent:
@@ -297,10 +308,10 @@
         }
     }
 
-    private noteFailure(progress: Progress, upstream: types.UpstreamEntry, isFailure: boolean): void {
+    private recordResult(progress: Progress, upstream: types.UpstreamEntry, isFailure: boolean): void {
         const now = this.parts.clock.now();
-        const watch = this.failures.get(upstream.service) ?? new decisions.FailureWatch();
-        this.failures.set(upstream.service, watch);
+        const watch = this.failureWatches.get(upstream.service) ?? new decisions.FailureWatch();
+        this.failureWatches.set(upstream.service, watch);
         const avoidedUntil = watch.noteEnd(upstream.id, isFailure, progress.knownUpstreams, now);
         if (avoidedUntil !== undefined) {
             this.parts.slots.board.penalize(upstream.id, avoidedUntil);
@@ -312,49 +323,54 @@
     }
 
     /**
-     * A stream that found a free place and has no event long after its target hangs. It may not be sent again, but the next ones
-     * needn't join it: without this the upstream is known only when callers give up, after seconds.
+     * Records a failure of the upstream if a stream that had a free slot gets no event long after the latency target. The request
+     * itself may not be repeatable, but later ones avoid the hanging upstream. Without this check it would be detected only
+     * seconds later, when callers give up.
      */
     private watchFirstEvent(progress: Progress, placement: Placement): () => void {
         const { upstream } = placement;
         const { online, batch } = progress.believed;
-        const hadPlace = placement.isCounted || online + batch < upstream.slots;
-        if (progress.request.route.kind !== types.RouteKind.Stream || progress.delivery.isStarted || !hadPlace) {
+        const hadFreeSlot = placement.isCounted || online + batch < upstream.slots;
+        if (progress.request.route.kind !== types.RouteKind.Stream || progress.delivery.isStarted || !hadFreeSlot) {
             return () => undefined;
         }
-        const limit = progress.request.route.latencyTargetMilliseconds * OverdueFactor;
+        const limit = progress.request.route.latencyTargetMilliseconds * FirstEventOverdueFactor;
         return this.parts.clock.schedule(limit, () => {
             if (!progress.delivery.isStarted) {
-                this.noteFailure(progress, upstream, true);
+                this.recordResult(progress, upstream, true);
             }
         });
     }
 
-    private async tellCrashWatch(
+    private async reportToCrashWatch(
         progress: Progress,
         upstream: types.UpstreamEntry,
         outcome: answerRelay.AttemptOutcome,
     ): Promise<void> {
-        const { registry } = this.parts.crashes;
+        const { suspects } = this.parts.crashes;
         const kinds = answerRelay.AttemptOutcomeKind;
         const id = progress.request.head.attemptId;
         if (outcome.kind === kinds.Delivered || outcome.kind === kinds.Failed) {
-            registry.onFinished(id, upstream.id);
+            suspects.onFinished(id, upstream.id);
             return;
         }
         if (outcome.kind === kinds.Lost) {
             await this.parts.crashes.onBroken(upstream);
         }
-        registry.onAbandoned(id, upstream.id);
+        suspects.onAbandoned(id, upstream.id);
     }
 
-    /** Deals with the end of an attempt; true when the request has its final answer. */
-    private settle(progress: Progress, upstream: types.UpstreamEntry, outcome: answerRelay.AttemptOutcome): boolean {
+    /** Handles the outcome of an attempt. Returns whether the request has ended. */
+    private handleOutcome(
+        progress: Progress,
+        upstream: types.UpstreamEntry,
+        outcome: answerRelay.AttemptOutcome,
+    ): boolean {
         const now = this.parts.clock.now();
         const { request, delivery } = progress;
         const kinds = answerRelay.AttemptOutcomeKind;
-        if (progress.isCallerGone) {
-            this.parts.log.finished(request, "the caller left", upstream.id, progress);
+        if (progress.isCallerDisconnected) {
+            this.parts.log.finished(request, "the caller disconnected", upstream.id, progress);
             return true;
         }
         if (progress.isTimedOut && outcome.kind !== kinds.Delivered) {
@@ -396,7 +412,7 @@
             return false;
         }
         if (outcome.kind === kinds.Failed && !delivery.isStarted) {
-            answerRelay.deliverHeld(this.parts.wire, delivery, outcome.answer);
+            answerRelay.deliverBuffered(this.parts.wire, delivery, outcome.answer);
             this.parts.log.finished(request, `status ${outcome.answer.status}`, upstream.id, progress);
             return true;
         }
@@ -417,14 +433,14 @@
         const { request, delivery } = progress;
         this.parts.log.refused(request, reason, detail, progress);
         if (delivery.isStarted) {
-            // The caller has a part: only a connection that breaks tells it that the rest won't come.
+            // Part of the answer has been sent, so closing the connection is the only way to signal the failure.
             delivery.response.destroy();
             return;
         }
         sendRefusal(this.parts.wire, delivery.response, { reason, retryAfterMilliseconds });
     }
 
-    /** Undefined where silence changes nothing: another attempt would not be allowed. */
+    /** Maximum silence before the attempt is stopped; undefined if another attempt would not be allowed. */
     private getSilenceLimit(progress: Progress, runsBefore: number): number | undefined {
         const { request, delivery } = progress;
         if (!isRepeatable(request.route) || runsBefore + 1 >= request.route.attempts) {
@@ -432,20 +448,23 @@
         }
         const remaining = request.deadline - this.parts.clock.now();
         if (request.route.kind !== types.RouteKind.Stream) {
-            return Math.max(request.route.latencyTargetMilliseconds, remaining * SilentShare);
+            return Math.max(request.route.latencyTargetMilliseconds, remaining * SilenceShare);
         }
         return delivery.isStarted
-            ? SilentStreamMilliseconds
-            : Math.max(SilentStreamMilliseconds, remaining * SilentShare);
+            ? StreamSilenceMilliseconds
+            : Math.max(StreamSilenceMilliseconds, remaining * SilenceShare);
     }
 
     private recordDuration(service: string, milliseconds: number): void {
-        const mean = this.serviceMeans.get(service);
-        this.serviceMeans.set(service, mean === undefined ? milliseconds : mean + (milliseconds - mean) * MeanWeight);
+        const mean = this.meanServiceMilliseconds.get(service);
+        this.meanServiceMilliseconds.set(
+            service,
+            mean === undefined ? milliseconds : mean + (milliseconds - mean) * MeanWeight,
+        );
     }
 }
 
-/** Answers with a refusal of ours. */
+/** Sends a refusal, or closes the connection if an answer has already been started. */
 export function sendRefusal(
     callerWire: wire.CallerWire,
     response: http.ServerResponse,
--- a/packages/gateway/src/routeTable.ts
+++ b/packages/gateway/src/routeTable.ts
@@ -1,7 +1,7 @@
 import * as decisions from "@boragedale/decisions";
 import * as types from "./types.js";
 
-/** Finds the route of a request: by host, then the longest prefix that begins the path. */
+/** Finds the route of a request by host and longest matching path prefix. */
 export class RouteTable {
     private readonly byHost = new Map<string, Map<string, types.Route>>();
 
@@ -13,13 +13,13 @@
         }
     }
 
-    /** Whether submissions to the host may need no key. */
+    /** Whether the host has a batch route that needs no key. */
     hasPublicBatchRoute(host: string): boolean {
         const routes = this.findHost(host)?.values() ?? [];
         return [...routes].some(route => route.isPublic && route.kind === types.RouteKind.Batch);
     }
 
-    /** One lookup for each slash of the path, longest first, however many routes there are. */
+    /** Tries each prefix of the path, longest first. The cost depends on the path's depth, not on the number of routes. */
     tryFind(host: string, target: string): types.Route | undefined {
         const routes = this.findHost(host);
         if (routes === undefined) {
@@ -48,8 +48,8 @@
 }
 
 /**
- * The service that runs a request of a route with several: by weight, from a hash of the request's own key, so that a
- * session stays with one service and a repeated request falls to the same one.
+ * Chooses one of the route's services by weight. The choice depends only on the hash of `key`, so a session stays with one
+ * service and a repeated request goes to the same one.
  */
 export function chooseService(route: types.Route, key: string): string | undefined {
     const total = route.services.reduce((sum, part) => sum + part.weight, 0);
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -2,23 +2,23 @@
 import type * as customers from "@boragedale/customers";
 
 /**
- * The vocabulary of the gateway: what the operators configure, which upstreams live, what a caller asks for and what
- * an upstream answers. A platform adapter decodes its own format into these types; nothing here knows that format.
+ * Types shared by the gateway's modules: the operators' configuration, registered upstreams, callers' requests and upstreams'
+ * answers. A platform adapter decodes its own format into these types; nothing here depends on that format.
  */
 
-/** What may be repeated, and how an answer is delivered. */
+/** Determines whether a request may be repeated, and how its answer is delivered. */
 export enum RouteKind {
     /** Idempotent: may run any number of times. */
     Safe = "Safe",
     /** May run at most once for each attempt of a caller. */
     Unsafe = "Unsafe",
-    /** Answered by a series of events; repeatable only where the route says that it can be resumed. */
+    /** Answered by a stream of events; repeatable only if the route is resumable (`Route.isResumable`). */
     Stream = "Stream",
-    /** Takes submissions of batch items. */
+    /** Accepts submissions of batch items. */
     Batch = "Batch",
 }
 
-/** A service of a route with its share of the route's requests; weights are relative. */
+/** A service of a route and its relative share of the route's requests. */
 export interface WeightedService {
     readonly service: string;
     readonly weight: number;
@@ -27,36 +27,37 @@
 export interface Route {
     readonly name: string;
     readonly host: string;
-    /** Begins and ends with a slash; the longest one that begins the path wins. */
+    /** Path prefix that begins and ends with a slash. The longest matching prefix wins. */
     readonly prefix: string;
     readonly kind: RouteKind;
     readonly services: readonly WeightedService[];
-    /** Longest time that a caller is kept waiting for the final answer. */
+    /** Maximum time that a caller waits for the final answer. */
     readonly timeoutMilliseconds: number;
-    /** The time within which an answer (of a stream: its first event) is worth the most. */
+    /** Time within which the answer, or the first event of a stream, should arrive. */
     readonly latencyTargetMilliseconds: number;
-    /** Most upstreams that one attempt of a caller may reach. */
+    /** Maximum number of upstreams that may run the request for one attempt of the caller. */
     readonly attempts: number;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** Needs no customer's key. */
+    /** Requests need no customer key. */
     readonly isPublic: boolean;
+    /** A broken stream can be continued at another upstream after the last event received. */
     readonly isResumable: boolean;
-    /** Batch only: time from the submission until all results are due. */
+    /** Batch only: time after acceptance by which all results are due. */
     readonly runTargetMilliseconds: number;
-    /** Batch only: time from the submission until an item may be given up. */
+    /** Batch only: time after acceptance from which unfinished items may be given up. */
     readonly keepMilliseconds: number;
 }
 
 export interface ServiceDefinition {
     readonly name: string;
     readonly healthPath: string;
-    /** Connections that one upstream accepts from all instances together. */
+    /** Number of connections that one upstream accepts, summed over all gateway instances. */
     readonly connectionLimit: number;
     readonly isEngine: boolean;
 }
 
-/** Bounds on what a caller may send, as the operators configure them. */
+/** Limits on callers' requests, set by the operators. */
 export interface CallerLimits {
     readonly headerBytes: number;
     readonly bodyBytes: number;
@@ -64,47 +65,47 @@
     readonly idleTimeoutMilliseconds: number;
 }
 
-/** One version of the operators' configuration, whole. */
+/** A complete version of the operators' configuration. */
 export interface Configuration {
     readonly version: number;
     readonly routes: readonly Route[];
     readonly services: readonly ServiceDefinition[];
     readonly limits: CallerLimits;
-    /** Undefined: no customers are configured, and requests need no key. */
+    /** Undefined if no customers are configured; requests then need no key. */
     readonly customers?: readonly customers.Customer[];
 }
 
 export enum UpstreamState {
     Ready = "Ready",
-    /** Takes no new work; work in progress runs to its end. */
+    /** Accepts no new requests; requests in progress run to completion. */
     Draining = "Draining",
 }
 
-/** What an upstream registers about itself. */
+/** The record under which an upstream registers itself. */
 export interface UpstreamEntry {
     readonly id: core.UpstreamId;
     readonly service: string;
-    /** IP address and port. */
+    /** `host:port`, with an IP address as the host. */
     readonly address: string;
     readonly dataCentre: core.DataCentre;
     readonly state: UpstreamState;
-    /** Requests that it runs at the same time. */
+    /** Number of requests that the upstream runs concurrently. */
     readonly slots: number;
-    /** Unix time of its start; tells two lives under one id apart. 0 where it doesn't say. */
+    /** Unix time of the upstream's start; distinguishes incarnations that share an id. 0 if not given. */
     readonly bornMilliseconds: core.WallMilliseconds;
 }
 
-/** Counts up with every change in the metadata store; 0 stands for "the key is absent". */
+/** Revision of the metadata store, which increases with every change. 0 means that the key is absent. */
 export type Revision = number;
 
-/** A key of the metadata store as it was at a revision; no value: it was removed then. */
+/** A key of the metadata store and its value at a revision. The value is undefined if that revision removed the key. */
 export interface StoreEntry {
     readonly key: string;
     readonly revision: Revision;
     readonly value: Uint8Array | undefined;
 }
 
-/** Method, target, host, and headers as they arrived: names and values in turn, with case, order and duplicates kept. */
+/** A request as received. `rawHeaders` alternates names and values and preserves case, order and duplicates. */
 export interface RawRequest {
     readonly method: string;
     readonly target: string;
@@ -112,67 +113,68 @@
     readonly rawHeaders: readonly string[];
 }
 
-/** What the gateway needs to know of a caller's request besides its route. */
+/** Request headers that the gateway evaluates, in decoded form. */
 export interface RequestHead {
-    /** Unique for each attempt of a caller; empty where the caller sent none. */
+    /** Unique for each attempt of the caller; empty if the caller sent none. */
     readonly attemptId: string;
-    /** How long the caller waits from now on; undefined where it doesn't say. */
+    /** Time that the caller waits, counted from the arrival of the request; undefined if not given. */
     readonly timeoutMilliseconds: number | undefined;
-    /** Tokens of the prompt and most tokens of the output; 0 where not said. */
+    /** Number of tokens in the prompt, and maximum number in the output; 0 if not given. */
     readonly promptTokens: number;
     readonly outputTokens: number;
-    /** Ids of the parts of the prompt, first to last; the last one belongs to the request or its session. */
+    /** Ids of the parts of the prompt in order. The last one identifies the request or its session. */
     readonly promptParts: readonly string[];
-    /** A caller that resumes a stream has seen all events up to this one. */
+    /** Set if the caller resumes a stream: the id of the last event that it received. */
     readonly lastEventId: string | undefined;
 }
 
-/** What is changed or added on the way to an upstream. */
+/** Values that go into the headers of a request to an upstream. */
 export interface ForwardOptions {
     readonly upstream: core.UpstreamId;
     readonly remainingMilliseconds: number | undefined;
-    /** Set where a stream goes on after an event that the caller has. */
+    /** Set if the stream is resumed: the id of the last event that was received. */
     readonly lastEventId: string | undefined;
-    /** Name of the customer whose request it is; undefined where it needed no key. */
+    /** Name of the customer; undefined if the request needed no key. */
     readonly customer: string | undefined;
-    /** Whether the caller's credentials are meant for the upstream; where customers are configured they are the gateway's. */
+    /** Whether to forward the caller's credentials. If customers are configured, the credentials are for the gateway only. */
     readonly passesCredentials: boolean;
 }
 
-/** What an answer's headers tell. */
+/** Headers of an upstream's answer, in decoded form. */
 export interface AnswerHead {
-    /** The attempt that the upstream answers; undefined where it doesn't say. */
+    /** Id of the attempt that the answer belongs to; undefined if not given. */
     readonly attemptId: string | undefined;
-    /** Whether it carries the upstream's proof that the answer is its own. */
+    /** Whether the answer carries the header that proves that the upstream itself sent it. */
     readonly isStamped: boolean;
-    /** The upstream proves that it did not run the request. */
+    /** The answer proves that the upstream did not run the request. */
     readonly isNotRun: boolean;
+    /** The body has a content encoding. */
     readonly isEncoded: boolean;
-    /** The upstream closes its end after this answer, as one does that leaves. */
+    /** The upstream closes the connection after this answer, for example because it shuts down. */
     readonly closesConnection: boolean;
 }
 
-/** Why a request ends without an upstream's answer. */
+/** Why the gateway answers a request itself instead of passing on an upstream's answer. */
 export enum RefusalReason {
     NoConfiguration = "NoConfiguration",
     NoRoute = "NoRoute",
-    /** No customer has the key, or there is none. */
+    /** The key is missing or belongs to no customer. */
     Unauthorized = "Unauthorized",
-    /** The customer is over its limit; proved not to have run. */
+    /** The customer has exceeded its limit. The request did not run. */
     QuotaExceeded = "QuotaExceeded",
     BodyTooLarge = "BodyTooLarge",
     HeaderTooLarge = "HeaderTooLarge",
     BodyInvalid = "BodyInvalid",
-    /** No place in time; proved not to have run. */
+    /** No slot would be free in time. The request did not run. */
     Overloaded = "Overloaded",
     NoUpstream = "NoUpstream",
     StoreUnavailable = "StoreUnavailable",
-    /** The request kills the upstreams that run it. */
+    /** The request has crashed several upstreams and is not sent to others. */
     Quarantined = "Quarantined",
-    /** May have run: an upstream broke off. */
+    /** An upstream failed or its connection broke. The request may have run. */
     UpstreamFailed = "UpstreamFailed",
     DeadlinePassed = "DeadlinePassed",
-    /** The deadline passed before anything was sent. */
+    /** The deadline passed before the request was sent to an upstream. */
     DeadlinePassedNotRun = "DeadlinePassedNotRun",
     UnknownSubmission = "UnknownSubmission",
     UnknownItem = "UnknownItem",
@@ -181,35 +183,35 @@
 
 export interface GatewayRefusal {
     readonly reason: RefusalReason;
-    /** When coming back helps. */
+    /** Time after which the caller may usefully retry. */
     readonly retryAfterMilliseconds?: number;
 }
 
-/** One item of a submission as the caller sent it. */
+/** An item of a submission as the caller sent it. */
 export interface BatchItem {
     readonly id: string;
-    /** Path with query, as the upstream gets it. */
+    /** Path and query of the request to the upstream. */
     readonly target: string;
     readonly headers: readonly (readonly [name: string, value: string])[];
     readonly body: Uint8Array;
-    /** Tokens of the prompt and most tokens of the output, summed. */
+    /** Sum of the tokens in the prompt and the maximum number in the output. */
     readonly tokens: number;
 }
 
 export enum ResultState {
     Completed = "Completed",
-    /** Given up: it can't be done, or its time or its submission is over. */
+    /** The item can't be completed, has expired, or its submission's route no longer exists. */
     GivenUp = "GivenUp",
 }
 
 export interface BatchResult {
     readonly id: string;
     readonly state: ResultState;
-    /** Data of all events in order, separated by line feeds. */
+    /** Data of all events in order, joined with line feeds. */
     readonly text: string;
 }
 
-/** Results from a position on. */
+/** A page of results; `next` is the position after its last result. */
 export interface ResultPage {
     readonly total: number;
     readonly next: number;
@@ -223,10 +225,10 @@
     EndSubmission = "EndSubmission",
 }
 
-/** A call to the gateway itself, as opposed to a request that it forwards. */
+/** A request that the gateway serves itself instead of forwarding it. */
 export type GatewayCall = { readonly kind: CallKind.Readiness } | SubmissionCall;
 
-/** A call about a submission. */
+/** A gateway call that concerns a submission. */
 export type SubmissionCall =
     | {
           readonly kind: CallKind.ReadResults;
--- a/packages/gateway/src/upstreamExchange.ts
+++ b/packages/gateway/src/upstreamExchange.ts
@@ -1,13 +1,13 @@
 import type * as net from "node:net";
 import * as undici from "undici";
 
-/** What came of an exchange that brought no whole answer. */
+/** Why an exchange ended without a complete answer. */
 export enum ExchangeFailureKind {
-    /** No connection stood: nothing of the request can have left. */
+    /** No connection was established, so no part of the request was sent. */
     NotSent = "NotSent",
-    /** The connection ended, or what came is no answer: the request may have run. */
+    /** The connection was closed, or the answer was invalid. The request may have run. */
     Broken = "Broken",
-    /** This side stopped it. */
+    /** The gateway stopped the exchange. */
     Aborted = "Aborted",
 }
 
@@ -16,12 +16,15 @@
     readonly text: string;
 }
 
-/** Called in order: `onHeaders` once, `onData` any number of times, then one of the two ends. */
+/**
+ * Callbacks are called in this order: `onSent`, `onHeaders`, `onData` any number of times, `onComplete`. `onFailure` can be called
+ * instead of any of them and ends the exchange.
+ */
 export interface ExchangeHandler {
-    /** The request is written to a connection from now on. */
+    /** A connection is available, and the request is about to be written to it. */
     onSent(): void;
     onHeaders(status: number, rawHeaders: string[], statusText: string): void;
-    /** Returns false to stop the upstream until `resume` is called. */
+    /** Returns false to pause reading until `resume` is called. */
     onData(data: Buffer): boolean;
     onComplete(): void;
     onFailure(failure: ExchangeFailure): void;
@@ -34,43 +37,46 @@
     readonly body: Buffer | undefined;
 }
 
-/** A running exchange, as its starter sees it. */
+/** Controls a running exchange. */
 export interface RunningExchange {
-    /** Stops the exchange and closes its connection, which tells the upstream to stop. */
+    /** Stops the exchange and closes its connection, so that the upstream stops the request. */
     abort(): void;
     resume(): void;
 }
 
-/** Connections to one upstream. */
+/** The connections to one upstream. */
 export abstract class Channel {
     abstract start(request: ExchangeRequest, handler: ExchangeHandler): RunningExchange;
-    /** Gives up all connections, as after silence on one: others may be as dead. Exchanges in progress go on. */
+    /**
+     * Replaces all connections. Used when a connection is silent, since the others may be dead as well. Exchanges in progress
+     * continue.
+     */
     abstract renew(): void;
-    /** Whether a kept connection is free for a request. */
+    /** Whether an idle kept-alive connection is available. */
     abstract hasIdleConnection(): boolean;
 }
 
 export interface ChannelOptions {
     readonly address: string;
     readonly connectTimeoutMilliseconds: number;
-    /** Connections that this instance may hold to the upstream. */
+    /** Maximum number of connections of this instance to the upstream. */
     readonly connections: number;
 }
 
 /**
- * Idle connections are let go after this: upstreams that say nothing keep theirs for longer, and a connection that was
- * used within the last seconds is less often one that something in between has forgotten.
+ * Idle timeout for upstreams that announce none: they keep their connections for longer. Connections that were used recently
+ * are less likely to have been dropped by a device on the network path.
  */
-const KeepAliveMilliseconds = 8_000;
+const DefaultKeepAliveMilliseconds = 8_000;
 /**
- * One that announces its timeout is taken at its word up to this, so that the connections of a burst are there for the next
- * one; beyond it a connection is more often forgotten on the way than used again.
+ * Upper bound on the idle timeout that an upstream announces. Connections of one burst remain available for the next; after
+ * a longer time, a connection is more likely to be dropped on the network path than to be reused.
  */
-const LongestKeepAliveMilliseconds = 30_000;
-/** Margin below the idle timeout that an upstream announces, so that a request doesn't cross its close. */
+const MaximumKeepAliveMilliseconds = 30_000;
+/** Margin below the idle timeout that an upstream announces, so that no request is sent while the upstream closes. */
 const KeepAliveMarginMilliseconds = 1_000;
 
-/** Kept connections to one upstream, one request at a time on each. */
+/** A pool of kept-alive connections to one upstream, without pipelining. */
 export class UpstreamChannel extends Channel implements AsyncDisposable {
     private pool: undici.Pool;
 
@@ -95,7 +101,7 @@
             );
         }
         catch (error) {
-            // A header that can't be written, such as one with control characters.
+            // A header can't be sent, for example because it contains control characters.
             exchange.onError(error as Error);
         }
         return exchange;
@@ -120,14 +126,14 @@
         return new undici.Pool(`http://${this.options.address}`, {
             connections: this.options.connections,
             pipelining: 1,
-            keepAliveTimeout: KeepAliveMilliseconds,
-            keepAliveMaxTimeout: LongestKeepAliveMilliseconds,
+            keepAliveTimeout: DefaultKeepAliveMilliseconds,
+            keepAliveMaxTimeout: MaximumKeepAliveMilliseconds,
             keepAliveTimeoutThreshold: KeepAliveMarginMilliseconds,
             connect: (options, callback) =>
                 connect(options, (...result) => {
                     const socket = result[1];
                     if (socket) {
-                        watchForReset(socket);
+                        detectReset(socket);
                     }
                     callback(...result);
                 }),
@@ -135,32 +141,33 @@
     }
 }
 
-/** True while the error event of a reset connection is being handled. */
-let isResetting = false;
+/** True while the error event of a connection is being handled. */
+let isHandlingError = false;
 
 /**
- * The HTTP client takes a reset after headers without a length for the end of the body, inside its own error listener.
- * An answer that was cut off would look whole to the caller; this listener runs first and tells the exchange.
+ * If a connection is reset during an answer without a length, the HTTP client's error listener reports the end of the body, and
+ * the caller would take a truncated answer for a complete one. This listener runs before it and sets the flag that
+ * `Exchange.onComplete` checks.
  */
-function watchForReset(socket: net.Socket): void {
+function detectReset(socket: net.Socket): void {
     socket.prependListener("error", () => {
-        isResetting = true;
-        process.nextTick(() => (isResetting = false));
+        isHandlingError = true;
+        process.nextTick(() => (isHandlingError = false));
     });
 }
 
-/** One request and its answer. Implements the client's handler interface. */
+/** A request and its answer. Implements the HTTP client's handler interface. */
 export class Exchange implements RunningExchange {
     private abortRequest: ((reason?: Error) => void) | undefined;
     private resumeBody: (() => void) | undefined;
-    private isOver = false;
+    private isFinished = false;
     private isAborted = false;
     private isSent = false;
 
     constructor(private readonly handler: ExchangeHandler) {}
 
     abort(): void {
-        if (this.isOver) {
+        if (this.isFinished) {
             return;
         }
         this.isAborted = true;
@@ -176,7 +183,7 @@
     }
 
     hasEnded(): boolean {
-        return this.isOver;
+        return this.isFinished;
     }
 
     onConnect(abort: (reason?: Error) => void): void {
@@ -192,7 +199,7 @@
     onResponseStarted(): void {}
 
     onHeaders(status: number, rawHeaders: Buffer[], resume: () => void, statusText: string): boolean {
-        if (this.isOver || status < 200) {
+        if (this.isFinished || status < 200) {
             return true;
         }
         this.resumeBody = resume;
@@ -205,18 +212,18 @@
     }
 
     onData(data: Buffer): boolean {
-        return this.isOver ? true : this.handler.onData(data);
+        return this.isFinished ? true : this.handler.onData(data);
     }
 
     onComplete(): void {
-        if (this.isOver) {
+        if (this.isFinished) {
             return;
         }
-        if (isResetting) {
+        if (isHandlingError) {
             this.fail({ kind: ExchangeFailureKind.Broken, text: "reset before the end of a body without length" });
             return;
         }
-        this.isOver = true;
+        this.isFinished = true;
         this.handler.onComplete();
     }
 
@@ -230,10 +237,10 @@
     }
 
     private fail(failure: ExchangeFailure): void {
-        if (this.isOver) {
+        if (this.isFinished) {
             return;
         }
-        this.isOver = true;
+        this.isFinished = true;
         this.handler.onFailure(failure);
     }
 }
--- a/packages/gateway/src/wire.ts
+++ b/packages/gateway/src/wire.ts
@@ -1,27 +1,27 @@
 import type * as core from "@boragedale/core";
 import type * as types from "./types.js";
 
-/** An answer that the gateway makes itself. */
+/** An answer that the gateway creates itself. */
 export interface OwnAnswer {
     readonly status: number;
     readonly headers: readonly string[];
     readonly body: string;
 }
 
-/** How one platform's callers and upstreams speak. Implementations translate; they decide nothing. */
+/** Translates between a platform's HTTP headers and bodies and the gateway's types. Implementations contain no policy. */
 export abstract class CallerWire {
-    /** The call to the gateway itself that a request is, where it is one. */
+    /** Decodes a request to the gateway itself; undefined for requests that are to be forwarded. */
     abstract tryReadCall(request: types.RawRequest): types.GatewayCall | undefined;
     abstract readRequest(rawHeaders: readonly string[]): types.RequestHead;
-    /** Headers for the upstream: those of one connection only are left out, ours are set. */
+    /** Creates the headers for the upstream: omits hop-by-hop headers and sets the gateway's own. */
     abstract createForwardHeaders(rawHeaders: readonly string[], options: types.ForwardOptions): string[];
-    /** Headers of a batch item's request to an upstream. */
+    /** Creates the headers of a batch item's request to an upstream. */
     abstract createItemHeaders(item: types.BatchItem, host: string, options: types.ForwardOptions): string[];
     abstract readAnswer(status: number, rawHeaders: readonly string[]): types.AnswerHead;
-    /** Headers for the caller: those of one connection only are left out. */
+    /** Creates the headers for the caller: omits hop-by-hop headers. */
     abstract createReturnHeaders(rawHeaders: readonly string[]): string[];
     abstract createRefusal(refusal: types.GatewayRefusal): OwnAnswer;
-    /** Reads a submission's items; a finding tells what is wrong. */
+    /** Decodes a submission's items; `text` describes what is wrong with an invalid body. */
     abstract decodeSubmission(
         body: Uint8Array,
     ):
@@ -33,14 +33,14 @@
 export type Decoded<T> =
     { readonly ok: true; readonly value: T } | { readonly ok: false; readonly findings: readonly core.Finding[] };
 
-/** How one platform's store names and encodes what its operators and upstreams write. */
+/** Defines the keys and encodings under which a platform's operators and upstreams write to the metadata store. */
 export abstract class RegistryCodec {
     abstract readonly configurationKey: string;
     abstract readonly upstreamPrefix: string;
-    /** Begins the keys that ask for a storage machine to be emptied; the rest is the machine's name. */
+    /** Prefix of the keys that request that a storage machine be emptied. The rest of the key is the machine's name. */
     abstract readonly retirementPrefix: string;
     abstract decodeConfiguration(value: Uint8Array): Decoded<types.Configuration>;
     abstract decodeUpstream(key: string, value: Uint8Array): Decoded<types.UpstreamEntry>;
-    /** Entry that tells the operators that a machine is empty. */
+    /** Creates the entry that reports to the operators that a machine is empty. */
     abstract createRetirementDone(machine: string): { readonly key: string; readonly value: Uint8Array };
 }
