--- a/packages/gateway/src/callerServer.ts
+++ b/packages/gateway/src/callerServer.ts
@@ -10,6 +10,7 @@
 import * as types from "./types.js";
 import type * as wire from "./wire.js";
 
+/** Dependencies of `CallerServer`. */
 export interface CallerServerParts {
     readonly wire: wire.CallerWire;
     readonly view: fleetView.FleetView;
@@ -22,8 +23,8 @@
     readonly isReady: () => boolean;
 }
 
-/** A submission that was read whole. */
-interface SentSubmission {
+/** A completely read request that submits batch items. */
+interface ReceivedSubmission {
     readonly raw: types.RawRequest;
     readonly head: types.RequestHead;
     readonly body: Buffer;
@@ -31,34 +32,35 @@
     readonly customer: string | undefined;
 }
 
-/** Over any configured bound; the bound itself is checked for each request, since it changes with the configuration. */
-const LargestHeaderBytes = 131_072;
-/** Bodies that are being read, over all requests: a quarter of the memory of a small instance. */
-const LargestBufferedBytes = 67_108_864;
-const BufferRetryMilliseconds = 500;
+/** Larger than any configured limit. That limit changes with the configuration and is checked for each request. */
+const MaximumHeaderBytes = 131_072;
+/** Maximum size of all bodies that are being read at the same time: a quarter of a small instance's memory. */
+const MaximumBufferedBytes = 67_108_864;
+/** Retry delay given to callers when the buffer limit is reached. */
+const BuffersFullRetryMilliseconds = 500;
 const NoConfigurationRetryMilliseconds = 500;
-/** Longest wait that a read of results may ask for. */
-const LongestReadWaitMilliseconds = 1_000;
-/** A caller that doesn't say how long it waits gets its route's time; this is for submissions without either. */
-const SubmissionTimeoutMilliseconds = 4_000;
+/** Maximum time for which a read of results may wait. */
+const MaximumReadWaitMilliseconds = 1_000;
+/** Timeout of submissions whose caller gives none. Forwarded requests use their route's timeout instead. */
+const DefaultSubmissionTimeoutMilliseconds = 4_000;
 
 /**
- * The face towards callers. It stands on the runtime's own HTTP server: requests are forwarded with method, target and
- * headers exactly as they came, which a web framework's router and parsers would take apart first.
+ * The HTTP server for callers. It uses Node's HTTP server directly, since requests are forwarded with exactly the method, target
+ * and headers received, and the router and parsers of a web framework would decode them first.
  */
 export class CallerServer implements AsyncDisposable {
     readonly server: http.Server;
-    private takenVersion = -1;
+    private appliedVersion = -1;
     private bufferedBytes = 0;
     private inProgress = 0;
     private isClosing = false;
 
     constructor(private readonly parts: CallerServerParts) {
         this.server = http.createServer(
-            { maxHeaderSize: LargestHeaderBytes, requestTimeout: 0, noDelay: true, connectionsCheckingInterval: 500 },
+            { maxHeaderSize: MaximumHeaderBytes, requestTimeout: 0, noDelay: true, connectionsCheckingInterval: 500 },
             (request, response) => void this.serve(request, response),
         );
-        parts.view.onChange(() => this.takeConfiguration());
+        parts.view.onChange(() => this.applyConfiguration());
     }
 
     async listen(host: string, port: number): Promise<void> {
@@ -73,9 +75,9 @@
     }
 
     /**
-     * From now on answers end their connections and new ones are refused, so that callers go elsewhere with the next
-     * request. A balancer that has too few others goes on sending whatever readiness says; a request that comes in the last
-     * second would be cut off, while a connection that is refused costs its caller nothing.
+     * Stops accepting connections and closes each open one after its next answer, so that callers send further requests to other
+     * instances. Readiness alone is not enough: a load balancer with too few other instances continues to send requests. A
+     * request that arrives in the last second would be interrupted, while a refused connection costs the caller nothing.
      */
     startClosing(): void {
         this.isClosing = true;
@@ -98,12 +100,12 @@
         return new Promise(resolve => this.server.getConnections((error, count) => resolve(!error && count > 0)));
     }
 
-    private takeConfiguration(): void {
+    private applyConfiguration(): void {
         const configuration = this.parts.view.getConfiguration();
-        if (configuration === undefined || configuration.version === this.takenVersion) {
+        if (configuration === undefined || configuration.version === this.appliedVersion) {
             return;
         }
-        this.takenVersion = configuration.version;
+        this.appliedVersion = configuration.version;
         this.server.headersTimeout = configuration.limits.headerTimeoutMilliseconds;
         this.server.keepAliveTimeout = configuration.limits.idleTimeoutMilliseconds;
         this.parts.log.note(gatewayLog.GatewayEvent.ConfigurationTaken, {
@@ -112,14 +114,14 @@
         });
     }
 
-    /** The task of one request. */
+    /** Serves a request and never rejects. */
     private async serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
         this.inProgress++;
         if (this.isClosing) {
             response.shouldKeepAlive = false;
         }
         try {
-            await this.serveOne(request, response);
+            await this.handleRequest(request, response);
         }
         catch (error) {
             this.parts.log.note(gatewayLog.GatewayEvent.Defect, { text: String(error) });
@@ -130,7 +132,7 @@
         }
     }
 
-    private async serveOne(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
+    private async handleRequest(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
         const arrivedAt = this.parts.clock.now();
         const raw: types.RawRequest = {
             method: request.method ?? "GET",
@@ -170,7 +172,7 @@
         const head = this.parts.wire.readRequest(raw.rawHeaders);
         const identity = await this.parts.identity.identify(raw.rawHeaders, route.isPublic);
         if (!callerIdentity.isAccepted(identity)) {
-            this.recordUnauthorized(head.attemptId, identity);
+            this.logUnauthorized(head.attemptId, identity);
             this.refuse(request, response, { reason: types.RefusalReason.Unauthorized });
             return;
         }
@@ -182,11 +184,11 @@
             }
             return;
         }
-        const claimed = customer === undefined ? undefined : this.parts.quotas.claim(customer);
+        const pendingQuota = customer === undefined ? undefined : this.parts.quotas.claim(customer);
         const body = await this.readBody(request, response, configuration.limits.bodyBytes);
-        const quota = await claimed;
+        const quota = await pendingQuota;
         if (body === undefined) {
-            this.giveBack(quota);
+            this.refundQuota(quota);
             return;
         }
         if (quota?.isGranted === false) {
@@ -198,17 +200,17 @@
         const read = { raw, head, route, body, arrivedAt, deadline, customer: customer?.name };
         const mayHaveRun = await this.parts.forwarder.forward(read, response);
         if (!mayHaveRun) {
-            this.giveBack(quota);
+            this.refundQuota(quota);
         }
     }
 
-    private giveBack(quota: customerQuotas.QuotaDecision | undefined): void {
+    private refundQuota(quota: customerQuotas.QuotaDecision | undefined): void {
         if (quota !== undefined) {
             this.parts.quotas.giveBack(quota);
         }
     }
 
-    private recordUnauthorized(request: string, identity: customers.Identity): void {
+    private logUnauthorized(request: string, identity: customers.Identity): void {
         this.parts.log.note(gatewayLog.GatewayEvent.RequestUnauthorized, {
             request,
             text: identity.kind,
@@ -245,7 +247,7 @@
         const isPublic = this.parts.view.getRoutes()?.hasPublicBatchRoute(raw.host) ?? false;
         const identity = await this.parts.identity.identify(raw.rawHeaders, isPublic);
         if (!callerIdentity.isAccepted(identity)) {
-            this.recordUnauthorized(call.submission, identity);
+            this.logUnauthorized(call.submission, identity);
             this.refuseCall(response, types.RefusalReason.Unauthorized);
             return;
         }
@@ -260,7 +262,7 @@
     ): Promise<void> {
         switch (call.kind) {
             case types.CallKind.ReadResults: {
-                const wait = Math.min(LongestReadWaitMilliseconds, call.waitMilliseconds);
+                const wait = Math.min(MaximumReadWaitMilliseconds, call.waitMilliseconds);
                 const page = await this.parts.submissions.read(name, call.position, wait);
                 if (!page.ok) {
                     this.refuseCall(response, page.reason);
@@ -290,8 +292,8 @@
         }
     }
 
-    private async acceptSubmission(sent: SentSubmission, response: http.ServerResponse): Promise<void> {
-        const { raw, head, body, arrivedAt, customer } = sent;
+    private async acceptSubmission(received: ReceivedSubmission, response: http.ServerResponse): Promise<void> {
+        const { raw, head, body, arrivedAt, customer } = received;
         const decoded = this.parts.wire.decodeSubmission(body);
         if (!decoded.ok || head.attemptId === "") {
             this.parts.log.note(gatewayLog.GatewayEvent.SubmissionRefused, {
@@ -307,7 +309,7 @@
             target: raw.target,
             items: decoded.items,
             customer,
-            deadline: arrivedAt + (head.timeoutMilliseconds ?? SubmissionTimeoutMilliseconds) - 200,
+            deadline: arrivedAt + (head.timeoutMilliseconds ?? DefaultSubmissionTimeoutMilliseconds) - 200,
         });
         if (outcome.ok) {
             sendEmpty(response, 202);
@@ -316,7 +318,7 @@
         requestForwarder.sendRefusal(this.parts.wire, response, outcome.refusal);
     }
 
-    /** The whole body; undefined where the request was refused or the caller left. */
+    /** Reads the complete body. Returns undefined if the request was refused or the caller disconnected. */
     private async readBody(
         request: http.IncomingMessage,
         response: http.ServerResponse,
@@ -337,8 +339,8 @@
                     this.refuse(request, response, { reason: types.RefusalReason.BodyTooLarge });
                     return undefined;
                 }
-                if (this.bufferedBytes > LargestBufferedBytes) {
-                    const retryAfterMilliseconds = BufferRetryMilliseconds;
+                if (this.bufferedBytes > MaximumBufferedBytes) {
+                    const retryAfterMilliseconds = BuffersFullRetryMilliseconds;
                     this.refuse(request, response, { reason: types.RefusalReason.Overloaded, retryAfterMilliseconds });
                     return undefined;
                 }
@@ -346,7 +348,7 @@
             }
         }
         catch {
-            // The caller broke off before its request was whole: nobody waits for an answer.
+            // The caller disconnected before it had sent the complete request, so there is nobody to answer.
             response.destroy();
             return undefined;
         }
@@ -356,7 +358,7 @@
         return chunks.length === 1 && chunks[0] !== undefined ? chunks[0] : Buffer.concat(chunks);
     }
 
-    /** Refuses before the body is read whole: the connection can't be used again then. */
+    /** Refuses a request whose body may not be completely read. In that case the connection can't be reused. */
     private refuse(request: http.IncomingMessage, response: http.ServerResponse, refusal: types.GatewayRefusal): void {
         if (!request.complete) {
             response.shouldKeepAlive = false;
--- a/packages/gateway/src/itemRun.ts
+++ b/packages/gateway/src/itemRun.ts
@@ -3,17 +3,20 @@
 import * as upstreamExchange from "./upstreamExchange.js";
 import type * as wire from "./wire.js";
 
+/** Outcome of one run of an item at one upstream. */
 export enum ItemOutcomeKind {
     Completed = "Completed",
-    /** The upstream tried and failed; counts against the item. */
+    /** The upstream ran the item and failed. Counts towards the item's attempts. */
     Failed = "Failed",
-    /** Can never be done. */
+    /** The upstream rejected the item as impossible to complete. */
     Impossible = "Impossible",
+    /** The upstream proved that it did not run the item. */
     NotRun = "NotRun",
+    /** No connection was established. */
     NotSent = "NotSent",
-    /** Broke off; goes on elsewhere. */
+    /** The run broke off. The item continues at any upstream. */
     Lost = "Lost",
-    /** Its place was given up for online work, or it was stopped. */
+    /** The gateway stopped the run, for example to free the slot for an online request. */
     Stopped = "Stopped",
 }
 
@@ -22,11 +25,11 @@
     readonly text: string;
 }
 
-/** Statuses of an upstream for an item, as the platform defines them. */
+/** Status codes for batch items, as the platform defines them. */
 const ServerFailedStatus = 500;
 const ImpossibleStatus = 422;
 
-/** One run of a batch item: collects the events, and finds out how it ended. */
+/** One run of a batch item: collects its events and determines the outcome. */
 export class ItemRun implements upstreamExchange.ExchangeHandler {
     readonly outcome: Promise<ItemOutcome>;
     private resolveOutcome: (outcome: ItemOutcome) => void = () => undefined;
@@ -43,7 +46,7 @@
         private readonly onProgress: () => void,
     ) {
         this.outcome = new Promise(resolve => (this.resolveOutcome = resolve));
-        this.parser = eventSource.createParser({ onEvent: event => this.takeEvent(event) });
+        this.parser = eventSource.createParser({ onEvent: event => this.handleEvent(event) });
     }
 
     attach(exchange: upstreamExchange.RunningExchange): void {
@@ -67,10 +70,13 @@
         this.status = status;
         const head = this.callerWire.readAnswer(status, rawHeaders);
         this.isNotRun = head.isNotRun;
-        const isForeign = head.attemptId !== undefined && head.attemptId !== this.owned.item.id;
-        const isUnproved = status === 200 && (!head.isStamped || head.isEncoded);
-        if (isForeign || isUnproved) {
-            this.stop(ItemOutcomeKind.Lost, isForeign ? "an answer to another request" : "an answer without proof");
+        const isForOtherAttempt = head.attemptId !== undefined && head.attemptId !== this.owned.item.id;
+        const isUnverified = status === 200 && (!head.isStamped || head.isEncoded);
+        if (isForOtherAttempt || isUnverified) {
+            this.stop(
+                ItemOutcomeKind.Lost,
+                isForOtherAttempt ? "an answer to another request" : "an answer without proof",
+            );
         }
         this.onProgress();
     }
@@ -103,14 +109,14 @@
         });
     }
 
-    private takeEvent(event: eventSource.EventSourceMessage): void {
+    private handleEvent(event: eventSource.EventSourceMessage): void {
         if (this.isSettled) {
             return;
         }
         const id = event.id === undefined ? undefined : Number(event.id);
         const last = this.owned.lastEventId;
         if (id !== undefined && last !== undefined && id !== last + 1) {
-            this.stop(ItemOutcomeKind.Lost, `event ${id} after ${last}`);
+            this.stop(ItemOutcomeKind.Lost, `event ${id} follows event ${last}`);
             return;
         }
         this.owned.lastEventId = id ?? last;
--- a/packages/gateway/src/itemScheduler.ts
+++ b/packages/gateway/src/itemScheduler.ts
@@ -11,6 +11,7 @@
 import * as types from "./types.js";
 import type * as wire from "./wire.js";
 
+/** Dependencies of `ItemScheduler`. */
 export interface SchedulerParts {
     readonly wire: wire.CallerWire;
     readonly view: fleetView.FleetView;
@@ -21,34 +22,37 @@
     readonly dataCentre: core.DataCentre;
 }
 
-/** An engine sends an event each 30 ms; a queue before the first one lasts as long as a stream. */
-const SilentMilliseconds = 1_500;
-/** Pause of an item after an end that tells nothing of it. */
-const PauseMilliseconds = 100;
-/** An upstream that refused as full, or that could not be reached, is left out for this long. */
+/** Silence after which a run counts as lost. Engines send an event every 30 ms, but the first one may wait for a whole stream. */
+const SilenceTimeoutMilliseconds = 1_500;
+/** Pause before an item whose run was lost is run again. */
+const RetryPauseMilliseconds = 100;
+/** Time for which an upstream that rejected an item as full is avoided. */
 const FullPenaltyMilliseconds = 80;
+/** Time for which an unreachable upstream is avoided. */
 const UnreachablePenaltyMilliseconds = 1_000;
-/** An upstream whose home said no is left out until its next notices have come. */
-const DeniedMilliseconds = 40;
+/** Time for which an upstream is avoided after its coordinator denied a slot: until updated slot counts have arrived. */
+const DeniedPenaltyMilliseconds = 40;
 /**
- * Notices of peers come every few milliseconds at a burst; looking through all waiting items at each was most of the
- * processor time of a loaded instance. An item runs for seconds.
+ * Delay that combines several dispatches into one. During a burst, peers report slot changes every few milliseconds, and examining
+ * all waiting items each time takes most of the processor time of a loaded instance. Items run for seconds, so the delay is
+ * negligible.
  */
 const DispatchDelayMilliseconds = 8;
-const ExpiryLookMilliseconds = 500;
-/** Items wait for room at most this long before it is looked for again, in case no notice told of it. */
-const LookMilliseconds = 60;
-/** An item that may be given up is kept this much longer, since the caller counts from its own first send. */
-const KeepSlackMilliseconds = 1_500;
-/** A submission whose route vanished is kept for this long, in case a newer configuration brings it back. */
-const RouteGoneMilliseconds = 4_000;
+const ExpiryCheckIntervalMilliseconds = 500;
+/** Interval at which waiting items are dispatched even if no peer reported a free slot. */
+const DispatchIntervalMilliseconds = 60;
+/** Added to the time after which items are given up, since the caller measures it from when it first sent the submission. */
+const ExpirySlackMilliseconds = 1_500;
+/** Time for which the items of a submission without a route are kept, in case a newer configuration restores the route. */
+const MissingRouteGraceMilliseconds = 4_000;
 
-interface ItemPlan {
+/** The route and service of an item in the current configuration. */
+interface ItemDestination {
     readonly route: types.Route;
     readonly service: string;
 }
 
-/** Runs the items of the submissions that this member owns, in the places that online work leaves. */
+/** Runs the items of the submissions that this member owns, in slots that online requests don't use. */
 export class ItemScheduler {
     private readonly submissions = new Set<ownedSubmission.OwnedSubmission>();
     private readonly running = new Map<
@@ -56,13 +60,14 @@
         { upstream: core.UpstreamId; run: itemRun.ItemRun }
     >();
     private readonly routeMissingSince = new Map<ownedSubmission.OwnedSubmission, core.MonotonicMilliseconds>();
-    private stopLook: (() => void) | undefined;
-    private stopDispatch: (() => void) | undefined;
-    private nextExpiryLook: core.MonotonicMilliseconds = -Infinity;
-    private readonly asking = new Map<core.UpstreamId, number>();
+    private cancelNextDispatch: (() => void) | undefined;
+    private cancelDispatch: (() => void) | undefined;
+    private nextExpiryCheck: core.MonotonicMilliseconds = -Infinity;
+    /** Number of unanswered slot requests, by upstream. */
+    private readonly pendingSlotRequests = new Map<core.UpstreamId, number>();
     private readonly deniedUntil = new Map<core.UpstreamId, core.MonotonicMilliseconds>();
-    /** How long items run, by the name of their route. */
-    private readonly lengths = new Map<string, decisions.ItemLength>();
+    /** Estimates of how long items run, by route name. */
+    private readonly lengthEstimates = new Map<string, decisions.ItemLength>();
     private isStopped = false;
 
     constructor(private readonly parts: SchedulerParts) {}
@@ -72,92 +77,94 @@
         this.dispatch();
     }
 
-    /** Stops the submission's items; used when it has ended or is somebody else's. */
+    /** Stops the submission's items, because it has ended or another member owns it. */
     remove(submission: ownedSubmission.OwnedSubmission): void {
         this.submissions.delete(submission);
         this.routeMissingSince.delete(submission);
         for (const owned of submission.items) {
-            this.running.get(owned)?.run.stop(itemRun.ItemOutcomeKind.Stopped, "its submission is over here");
+            this.running
+                .get(owned)
+                ?.run.stop(itemRun.ItemOutcomeKind.Stopped, "its submission has ended or has another owner");
         }
     }
 
-    /** Starts no more items; those that run go on until they are removed. */
+    /** Starts no more items. Running items continue until their submission is removed. */
     stop(): void {
         this.isStopped = true;
     }
 
-    /** Gives a place on the upstream up for online work: the item that would have got its place last. */
+    /** Stops the least urgent item on the upstream, to free its slot for an online request. */
     yieldPlace(upstream: core.UpstreamId): void {
-        const getOutlook = this.createOutlooks();
+        const getOutlook = this.createOutlookEstimator();
         let chosen: { owned: ownedSubmission.OwnedItem; run: itemRun.ItemRun } | undefined;
         for (const [owned, entry] of this.running) {
-            const isLater =
+            const isLessUrgent =
                 chosen === undefined || decisions.compareItems(getOutlook(owned), getOutlook(chosen.owned)) > 0;
-            if (entry.upstream === upstream && isLater) {
+            if (entry.upstream === upstream && isLessUrgent) {
                 chosen = { owned, run: entry.run };
             }
         }
         if (chosen !== undefined) {
             this.parts.log.note(gatewayLog.GatewayEvent.ItemYielded, { item: chosen.owned.item.id, upstream });
-            chosen.run.stop(itemRun.ItemOutcomeKind.Stopped, "its place went to online work");
+            chosen.run.stop(itemRun.ItemOutcomeKind.Stopped, "its slot was needed for an online request");
         }
     }
 
-    /** Something may have come free: items are started soon, once for all that came free together. */
+    /** Schedules a search for free slots. Calls within the dispatch delay are combined. */
     dispatch(): void {
-        if (this.stopDispatch !== undefined || this.isStopped || this.submissions.size === 0) {
+        if (this.cancelDispatch !== undefined || this.isStopped || this.submissions.size === 0) {
             return;
         }
-        this.stopDispatch = this.parts.clock.schedule(DispatchDelayMilliseconds, () => {
-            this.stopDispatch = undefined;
+        this.cancelDispatch = this.parts.clock.schedule(DispatchDelayMilliseconds, () => {
+            this.cancelDispatch = undefined;
             this.startWaiting();
         });
     }
 
-    /** Starts as many items as there are places for, earliest due first. */
+    /** Starts waiting items, most urgent first, until there are no free slots. */
     private startWaiting(): void {
         const now = this.parts.clock.now();
-        if (now >= this.nextExpiryLook) {
-            this.nextExpiryLook = now + ExpiryLookMilliseconds;
+        if (now >= this.nextExpiryCheck) {
+            this.nextExpiryCheck = now + ExpiryCheckIntervalMilliseconds;
             this.giveUpExpired();
         }
         const waiting = this.getWaiting(now);
-        const stuck = waiting.findIndex(owned => !this.tryStart(owned, now));
-        if (stuck >= 0) {
-            this.borrow(waiting.slice(stuck));
+        const firstBlocked = waiting.findIndex(owned => !this.tryStart(owned, now));
+        if (firstBlocked >= 0) {
+            this.requestRemoteSlots(waiting.slice(firstBlocked));
         }
-        this.scheduleLook();
+        this.scheduleNextDispatch();
     }
 
-    /** In a large fleet the engines of other homes are used by what these lend. */
-    private borrow(waiting: readonly ownedSubmission.OwnedItem[]): void {
-        const service = waiting[0] === undefined ? undefined : this.tryFindPlan(waiting[0])?.service;
+    /** In a large fleet, requests slots on engines that other members coordinate. */
+    private requestRemoteSlots(waiting: readonly ownedSubmission.OwnedItem[]): void {
+        const service = waiting[0] === undefined ? undefined : this.tryFindDestination(waiting[0])?.service;
         if (service === undefined || !this.parts.slots.isLending(service)) {
             return;
         }
-        this.parts.slots.borrowForBatch(service, waiting.length, upstream => this.startOnLent(service, upstream));
+        this.parts.slots.borrowForBatch(service, waiting.length, upstream => this.startOnRemoteSlot(service, upstream));
     }
 
-    /** Starts the most urgent item that waits now; the one that asked may have ended meanwhile. */
-    private startOnLent(service: string, id: core.UpstreamId): boolean {
+    /** Starts the most urgent waiting item on a granted slot. The item for which the slot was requested may have ended. */
+    private startOnRemoteSlot(service: string, id: core.UpstreamId): boolean {
         const now = this.parts.clock.now();
-        // The home may not have heard yet that the upstream leaves.
+        // The coordinator may not know yet that the upstream is no longer usable.
         const upstream = this.parts.view.getUsable(service, now).find(known => known.entry.id === id)?.entry;
         if (upstream === undefined || this.isStopped) {
             return false;
         }
         for (const owned of this.getWaiting(now)) {
-            const plan = this.tryFindPlan(owned);
-            if (plan?.service === service) {
-                void this.run(owned, upstream, plan.route, true);
+            const destination = this.tryFindDestination(owned);
+            if (destination?.service === service) {
+                void this.run(owned, upstream, destination.route, true);
                 return true;
             }
         }
         return false;
     }
 
-    /** Where an item runs, as the configuration says now. */
-    private tryFindPlan(owned: ownedSubmission.OwnedItem): ItemPlan | undefined {
+    /** Looks up the item's route and service in the current configuration. */
+    private tryFindDestination(owned: ownedSubmission.OwnedItem): ItemDestination | undefined {
         const head = owned.submission.getHead();
         const route = this.parts.view.getRoutes()?.tryFind(head.host, head.target);
         const service = route === undefined ? undefined : routeTable.chooseService(route, owned.item.id);
@@ -175,45 +182,45 @@
                 );
             }
         }
-        const getOutlook = this.createOutlooks();
+        const getOutlook = this.createOutlookEstimator();
         return waiting
             .map(owned => ({ owned, outlook: getOutlook(owned) }))
             .sort((left, right) => decisions.compareItems(left.outlook, right.outlook))
             .map(({ owned }) => owned);
     }
 
-    /** What is known now of when items are due and how long they still run. */
-    private createOutlooks(): (owned: ownedSubmission.OwnedItem) => decisions.ItemOutlook {
+    /** Returns a function that estimates when an item is due and how long it still has to run. */
+    private createOutlookEstimator(): (owned: ownedSubmission.OwnedItem) => decisions.ItemOutlook {
         const wallNow = this.parts.clock.wallNow();
         const routes = this.parts.view.getRoutes();
-        const found = new Map<ownedSubmission.OwnedSubmission, types.Route | undefined>();
+        const routeBySubmission = new Map<ownedSubmission.OwnedSubmission, types.Route | undefined>();
         return owned => {
             const head = owned.submission.getHead();
-            if (!found.has(owned.submission)) {
-                found.set(owned.submission, routes?.tryFind(head.host, head.target));
+            if (!routeBySubmission.has(owned.submission)) {
+                routeBySubmission.set(owned.submission, routes?.tryFind(head.host, head.target));
             }
-            const route = found.get(owned.submission);
+            const route = routeBySubmission.get(owned.submission);
             const dueAt = head.acceptedAt + (route?.runTargetMilliseconds ?? 0);
             return {
                 dueInMilliseconds: dueAt - wallNow,
-                remainingMilliseconds: this.lengths.get(route?.name ?? "")?.estimate(owned.texts.length) ?? 0,
+                remainingMilliseconds: this.lengthEstimates.get(route?.name ?? "")?.estimate(owned.texts.length) ?? 0,
                 eventsSoFar: owned.texts.length,
             };
         };
     }
 
     private recordLength(route: types.Route, events: number, runEvents: number, milliseconds: number): void {
-        const length = this.lengths.get(route.name) ?? new decisions.ItemLength();
-        this.lengths.set(route.name, length);
+        const length = this.lengthEstimates.get(route.name) ?? new decisions.ItemLength();
+        this.lengthEstimates.set(route.name, length);
         length.record(events, runEvents, milliseconds);
     }
 
     private tryStart(owned: ownedSubmission.OwnedItem, now: core.MonotonicMilliseconds): boolean {
-        const plan = this.tryFindPlan(owned);
-        if (plan === undefined) {
+        const destination = this.tryFindDestination(owned);
+        if (destination === undefined) {
             return true;
         }
-        const { route, service } = plan;
+        const { route, service } = destination;
         const isLending = this.parts.slots.isLending(service);
         const candidates = this.parts.view
             .getUsable(service, now)
@@ -222,7 +229,7 @@
             .filter(entry => (this.deniedUntil.get(entry.id) ?? 0) <= now)
             .map(entry => ({
                 ...entry,
-                slots: entry.slots - (this.asking.get(entry.id) ?? 0),
+                slots: entry.slots - (this.pendingSlotRequests.get(entry.id) ?? 0),
                 hasIdleConnection: this.parts.channels.hasIdleConnection(entry),
             }));
         const chosen = this.parts.slots.board.tryChooseBatch(
@@ -236,31 +243,31 @@
             return false;
         }
         if (isLending) {
-            // This member is the home and its board is exact.
+            // This member coordinates the upstream, so its slot table is exact.
             void this.run(owned, upstream, route, false);
             return true;
         }
-        void this.askAndRun(owned, upstream, route);
+        void this.requestSlotAndRun(owned, upstream, route);
         return true;
     }
 
-    /** The place is counted as taken while its home is asked, so that the next item looks elsewhere. */
-    private async askAndRun(
+    /** Asks the coordinator for the slot. Until it replies, the slot counts as taken, so that the next item tries another one. */
+    private async requestSlotAndRun(
         owned: ownedSubmission.OwnedItem,
         upstream: types.UpstreamEntry,
         route: types.Route,
     ): Promise<void> {
         owned.state = ownedSubmission.ItemState.Running;
-        this.asking.set(upstream.id, (this.asking.get(upstream.id) ?? 0) + 1);
+        this.pendingSlotRequests.set(upstream.id, (this.pendingSlotRequests.get(upstream.id) ?? 0) + 1);
         const isGranted = await this.parts.slots.mayStartBatch(upstream, slotLending.ReservedSlots);
-        this.asking.set(upstream.id, (this.asking.get(upstream.id) ?? 1) - 1);
+        this.pendingSlotRequests.set(upstream.id, (this.pendingSlotRequests.get(upstream.id) ?? 1) - 1);
         if (owned.state !== ownedSubmission.ItemState.Running) {
             return;
         }
         if (!isGranted || !owned.submission.isActive() || this.isStopped || !this.submissions.has(owned.submission)) {
             owned.state = ownedSubmission.ItemState.Waiting;
             if (!isGranted) {
-                this.deniedUntil.set(upstream.id, this.parts.clock.now() + DeniedMilliseconds);
+                this.deniedUntil.set(upstream.id, this.parts.clock.now() + DeniedPenaltyMilliseconds);
             }
             return;
         }
@@ -280,14 +287,14 @@
             ...this.parts.slots.board.getTotal(upstream.id),
         });
         owned.state = ownedSubmission.ItemState.Running;
-        let stopSilence = (): void => undefined;
-        const watchSilence = (): void => {
-            stopSilence();
-            stopSilence = this.parts.clock.schedule(SilentMilliseconds, () =>
-                run.stop(itemRun.ItemOutcomeKind.Lost, `silent for ${SilentMilliseconds} ms`),
+        let stopSilenceTimer = (): void => undefined;
+        const restartSilenceTimer = (): void => {
+            stopSilenceTimer();
+            stopSilenceTimer = this.parts.clock.schedule(SilenceTimeoutMilliseconds, () =>
+                run.stop(itemRun.ItemOutcomeKind.Lost, `silent for ${SilenceTimeoutMilliseconds} ms`),
             );
         };
-        const run = new itemRun.ItemRun(owned, this.parts.wire, watchSilence);
+        const run = new itemRun.ItemRun(owned, this.parts.wire, restartSilenceTimer);
         this.running.set(owned, { upstream: upstream.id, run });
         this.parts.slots.take(upstream.id, true, isCounted);
         const { host, customer } = owned.submission.getHead();
@@ -307,19 +314,19 @@
         const startedAt = this.parts.clock.now();
         const eventsBefore = owned.texts.length;
         run.attach(this.parts.channels.get(upstream).start(request, run));
-        watchSilence();
+        restartSilenceTimer();
         const outcome = await run.outcome;
-        stopSilence();
+        stopSilenceTimer();
         this.running.delete(owned);
         if (outcome.kind === itemRun.ItemOutcomeKind.Completed) {
             const events = owned.texts.length;
             this.recordLength(route, events, events - eventsBefore, this.parts.clock.now() - startedAt);
         }
-        this.settle(owned, upstream, route, outcome);
+        this.handleOutcome(owned, upstream, route, outcome);
         this.parts.slots.release(upstream.id, true);
     }
 
-    private settle(
+    private handleOutcome(
         owned: ownedSubmission.OwnedItem,
         upstream: types.UpstreamEntry,
         route: types.Route,
@@ -352,7 +359,7 @@
                 this.parts.slots.board.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
                 break;
             case kinds.Lost:
-                owned.notBefore = now + PauseMilliseconds;
+                owned.notBefore = now + RetryPauseMilliseconds;
                 break;
             case kinds.Stopped:
                 return;
@@ -376,7 +383,7 @@
         owned.submission.finish(owned, types.ResultState.GivenUp);
     }
 
-    /** Gives up what is past its time or has no route any more. */
+    /** Gives up items that have expired or whose route no longer exists. */
     private giveUpExpired(): void {
         const now = this.parts.clock.now();
         const wallNow = this.parts.clock.wallNow();
@@ -390,14 +397,14 @@
             if (route === undefined) {
                 const since = this.routeMissingSince.get(submission) ?? now;
                 this.routeMissingSince.set(submission, since);
-                if (now - since > RouteGoneMilliseconds) {
-                    this.giveUpAll(submission, "its route is gone");
+                if (now - since > MissingRouteGraceMilliseconds) {
+                    this.giveUpAll(submission, "its route no longer exists");
                 }
                 continue;
             }
             this.routeMissingSince.delete(submission);
-            if (wallNow - head.acceptedAt > route.keepMilliseconds + KeepSlackMilliseconds) {
-                this.giveUpAll(submission, "its time is over");
+            if (wallNow - head.acceptedAt > route.keepMilliseconds + ExpirySlackMilliseconds) {
+                this.giveUpAll(submission, "it has expired");
             }
         }
     }
@@ -411,12 +418,12 @@
         }
     }
 
-    private scheduleLook(): void {
-        if (this.stopLook !== undefined || this.submissions.size === 0) {
+    private scheduleNextDispatch(): void {
+        if (this.cancelNextDispatch !== undefined || this.submissions.size === 0) {
             return;
         }
-        this.stopLook = this.parts.clock.schedule(LookMilliseconds, () => {
-            this.stopLook = undefined;
+        this.cancelNextDispatch = this.parts.clock.schedule(DispatchIntervalMilliseconds, () => {
+            this.cancelNextDispatch = undefined;
             this.dispatch();
         });
     }
--- a/packages/gateway/src/ownedSubmission.ts
+++ b/packages/gateway/src/ownedSubmission.ts
@@ -6,25 +6,26 @@
 import * as submissionStore from "./submissionStore.js";
 import * as types from "./types.js";
 
+/** State of an item at its owner. */
 export enum ItemState {
     Waiting = "Waiting",
     Running = "Running",
-    /** Has its result, listed or about to be. */
+    /** The item has a result, which may not be listed in the head yet. */
     Finished = "Finished",
 }
 
-/** An item and how far it has come. */
+/** An item and its progress. */
 export interface OwnedItem {
     readonly submission: OwnedSubmission;
     readonly index: number;
     readonly item: types.BatchItem;
     state: ItemState;
-    /** Data of the events so far; a new run goes on after the last one. */
+    /** Data of the events so far. The next run continues after the last one. */
     readonly texts: string[];
     lastEventId: number | undefined;
-    /** Answers that count against it. */
+    /** Failed attempts, which count towards the route's maximum. */
     failures: number;
-    /** Not before: the last run ended without a reason that another one would meet as well. */
+    /** Earliest time of the next run; later than now only if the last run was lost. */
     notBefore: core.MonotonicMilliseconds;
 }
 
@@ -35,32 +36,32 @@
     readonly results: readonly types.BatchResult[];
     readonly store: submissionStore.SubmissionStore;
     readonly clock: core.Clock;
-    /** Called when another owner or nobody has it now. */
-    readonly onLost: (reason: string) => void;
+    /** Called when this member no longer owns the submission. */
+    readonly onOwnershipLost: (reason: string) => void;
     readonly onListed: (count: number, calls: number) => void;
 }
 
 /**
- * Results wait this long for others to be written with them: ten items that end within seconds cost two or three writes.
- * What a kill in between loses is run again.
+ * Delay that combines several results into one write: ten items that end within seconds need two or three writes. Results that are
+ * lost because the process is killed during the delay are computed again.
  */
 const FlushDelayMilliseconds = 1_200;
-/** Bytes of text of one segment. */
-const SegmentBytes = 400_000;
-/** First and longest pause after a write that failed. */
-const FirstRetryMilliseconds = 200;
-const LongestRetryMilliseconds = 1_000;
+/** Maximum size of a segment's texts. */
+const MaximumSegmentBytes = 400_000;
+/** Initial and maximum pause after a failed write. */
+const InitialRetryMilliseconds = 200;
+const MaximumRetryMilliseconds = 1_000;
 /**
- * How often the progress of items is kept. An item takes five to ten seconds; when every process is killed at once, this
- * much of it is run again instead of all, which else makes the items of a whole fleet late.
+ * Interval at which the progress of items is stored. Items take five to ten seconds. When all processes are killed at once, at most
+ * this much of an item is repeated; repeating whole items would delay those of the whole fleet.
  */
-const CheckpointMilliseconds = 2_500;
-/** Fewer new events than this are cheaper to run again than to write: about a second of one place on an engine. */
-const LeastCheckpointEvents = 40;
-/** Bytes of text of a checkpoint: half of the largest value that the store takes; what exceeds it is run again. */
-const CheckpointBytes = 400_000;
+const CheckpointIntervalMilliseconds = 2_500;
+/** Minimum number of new events for a checkpoint. Repeating fewer, about a second in one engine slot, is cheaper than the write. */
+const MinimumCheckpointEvents = 40;
+/** Maximum size of a checkpoint's texts: half of the store's maximum value size. Progress beyond it is not stored. */
+const MaximumCheckpointBytes = 400_000;
 
-/** A submission that this member runs. Nothing is shown to anyone before the store has acknowledged it. */
+/** A submission that this member runs. Results become readable only after the store has acknowledged them. */
 export class OwnedSubmission {
     readonly items: OwnedItem[];
     private stored: submissionStore.StoredHead;
@@ -69,12 +70,12 @@
     private readonly waiters = new Set<() => void>();
     private stopFlush: (() => void) | undefined;
     private stopCheckpoint: (() => void) | undefined;
-    /** Events of each item, by its index, that the store has. */
-    private keptEvents: ReadonlyMap<number, number> = new Map();
-    /** Writes follow one another: each is fenced by the revision of the one before. */
+    /** Number of events in the store, by item index. */
+    private checkpointedEvents: ReadonlyMap<number, number> = new Map();
+    /** Writes are sequential, since each is fenced by the revision of the previous one. */
     private lastWrite: Promise<void> = Promise.resolve();
     private hasEnded = false;
-    private isLost = false;
+    private hasLostOwnership = false;
 
     constructor(private readonly options: OwnedSubmissionOptions) {
         this.stored = options.stored;
@@ -107,21 +108,21 @@
         return this.stored;
     }
 
-    /** Whether items may still be run here. */
+    /** Whether this member may still run items of the submission. */
     isActive(): boolean {
-        return !this.hasEnded && !this.isLost;
+        return !this.hasEnded && !this.hasLostOwnership;
     }
 
     isComplete(): boolean {
         return this.listed.length === this.items.length;
     }
 
-    /** Results from a position on, at most `limit` bytes of text but one result at least. */
+    /** Returns results from `position`: up to `limitBytes` of text, but at least one result. */
     getPage(position: number, limitBytes: number): types.ResultPage {
         return createPage(this.items.length, this.listed.slice(position), position, limitBytes);
     }
 
-    /** Resolves when there is a result at the position, or after the time. */
+    /** Resolves when there is a result at the position, at the latest after `milliseconds`. */
     async waitForPosition(position: number, milliseconds: number): Promise<void> {
         if (this.listed.length > position || milliseconds <= 0 || !this.isActive()) {
             return;
@@ -141,7 +142,7 @@
         return this.hasEnded ? undefined : this.items.find(owned => owned.item.id === item)?.item.body;
     }
 
-    /** Takes the result of an item; it is shown once it is written. */
+    /** Records the result of an item. It becomes readable when it has been written. */
     finish(owned: OwnedItem, state: types.ResultState): void {
         if (owned.state === ItemState.Finished || !this.isActive()) {
             return;
@@ -151,18 +152,18 @@
         this.pending.push({ id: owned.item.id, state, text });
         const isLast = this.items.every(item => item.state === ItemState.Finished);
         const bytes = this.pending.reduce((sum, result) => sum + result.text.length, 0);
-        if (isLast || bytes > SegmentBytes) {
+        if (isLast || bytes > MaximumSegmentBytes) {
             void this.flush();
             return;
         }
         this.stopFlush ??= this.options.clock.schedule(FlushDelayMilliseconds, () => void this.flush());
     }
 
-    /** Writes what is pending; resolves when it is written or lost. */
+    /** Writes the pending results. Resolves when they are written or this member has lost ownership. */
     async flush(): Promise<void> {
         this.stopFlush?.();
         this.stopFlush = undefined;
-        await this.writeInTurn(async () => {
+        await this.enqueueWrite(async () => {
             while (this.pending.length > 0 && this.isActive()) {
                 if (!(await this.writeSegment())) {
                     return;
@@ -171,7 +172,7 @@
         });
     }
 
-    /** How far the items have come that have begun. */
+    /** Returns the progress of unfinished items that have received events. */
     getProgress(): records.ItemProgress[] {
         return this.items.flatMap((owned): records.ItemProgress[] =>
             owned.state === ItemState.Finished || owned.lastEventId === undefined
@@ -180,7 +181,7 @@
         );
     }
 
-    /** Lets items go on where a former owner left them. */
+    /** Sets the progress that a previous owner made, so that items continue from there. */
     setProgress(progress: readonly records.ItemProgress[]): void {
         for (const [index, lastEventId, texts] of progress) {
             const owned = this.items[index];
@@ -191,38 +192,38 @@
         }
     }
 
-    /** Ends it: no item runs from now on, and that is durable when true is returned. */
+    /** Ends the submission, so that no more items run. Returns whether the end is durable. */
     async end(): Promise<boolean> {
         if (this.hasEnded) {
             return true;
         }
-        let isDone = false;
-        await this.writeInTurn(async () => {
-            isDone = this.hasEnded || (await this.writeUntilKnown(this.createWrite({ isEnded: true }, [])));
+        let isDurable = false;
+        await this.enqueueWrite(async () => {
+            isDurable = this.hasEnded || (await this.writeUntilKnown(this.createWrite({ isEnded: true }, [])));
         });
-        if (isDone) {
+        if (isDurable) {
             this.hasEnded = true;
             this.stopCheckpoint?.();
-            this.wake();
+            this.notifyWaiters();
         }
-        return isDone;
+        return isDurable;
     }
 
-    /** Leaves it to whoever takes it over; results that are not written are lost to it. */
-    lose(reason: string): void {
-        if (this.isLost) {
+    /** Gives up ownership. Results that are not written yet are not passed to the next owner. */
+    giveUpOwnership(reason: string): void {
+        if (this.hasLostOwnership) {
             return;
         }
-        this.isLost = true;
+        this.hasLostOwnership = true;
         this.stopFlush?.();
         this.stopCheckpoint?.();
-        this.wake();
-        this.options.onLost(reason);
+        this.notifyWaiters();
+        this.options.onOwnershipLost(reason);
     }
 
     private async writeSegment(): Promise<boolean> {
         const first = this.listed.length;
-        const batch = takeWithin(this.pending, SegmentBytes);
+        const batch = takeResultsWithin(this.pending, MaximumSegmentBytes);
         const change = { segments: [...this.stored.head.segments, first], listed: first + batch.length };
         const put = { key: records.getResultsKey(this.options.id, first), value: records.encodeResults(batch) };
         if (!(await this.writeUntilKnown(this.createWrite(change, [put])))) {
@@ -230,31 +231,31 @@
         }
         this.pending.splice(0, batch.length);
         this.listed.push(...batch);
-        this.wake();
+        this.notifyWaiters();
         return true;
     }
 
-    /** Keeps the progress of the items now and then, whatever becomes of this process. */
+    /** Stores the progress of the items regularly, so that it survives a crash of this process. */
     private scheduleCheckpoint(): void {
         if (this.isActive() && !this.isComplete()) {
             this.stopCheckpoint = this.options.clock.schedule(
-                CheckpointMilliseconds,
+                CheckpointIntervalMilliseconds,
                 () => void this.checkpoint().then(() => this.scheduleCheckpoint()),
             );
         }
     }
 
     private async checkpoint(): Promise<void> {
-        await this.writeInTurn(async () => {
-            if (this.isActive() && this.countUnkeptEvents() >= LeastCheckpointEvents) {
+        await this.enqueueWrite(async () => {
+            if (this.isActive() && this.countUncheckpointedEvents() >= MinimumCheckpointEvents) {
                 await this.writeUntilKnown(this.createWrite({}, []), true);
             }
         });
     }
 
     /**
-     * Items that are done, but not listed yet, without their last event: the next owner asks for that one, and sees the end of
-     * the item as of any other.
+     * Returns the progress of completed items whose results are not listed yet, without their last event. A new owner requests
+     * only that event and then sees the item end as usual.
      */
     private getProgressOfPending(results: readonly types.BatchResult[]): records.ItemProgress[] {
         const wanted = new Set(
@@ -267,16 +268,16 @@
         );
     }
 
-    private countUnkeptEvents(): number {
+    private countUncheckpointedEvents(): number {
         const listed = new Set(this.listed.map(result => result.id));
         return this.items
             .filter(owned => !listed.has(owned.item.id))
-            .reduce((sum, owned) => sum + owned.texts.length - (this.keptEvents.get(owned.index) ?? 0), 0);
+            .reduce((sum, owned) => sum + owned.texts.length - (this.checkpointedEvents.get(owned.index) ?? 0), 0);
     }
 
     /**
-     * A write that changes the head and keeps the progress of the items as it is now: beside a result it costs no call of
-     * its own. The last result and the end remove it.
+     * Creates a write that changes the head and stores the current progress of the items, which needs no separate call. The last
+     * result and the end of the submission remove the progress record.
      */
     private createWrite(
         change: Partial<records.SubmissionHead>,
@@ -286,7 +287,7 @@
         const isOver = change.isEnded === true || change.listed === this.items.length;
         const unlisted = this.pending.slice((change.listed ?? this.listed.length) - this.listed.length);
         const known = [...this.getProgress(), ...this.getProgressOfPending(unlisted)];
-        const progress = isOver ? [] : takeProgressWithin(known, CheckpointBytes);
+        const progress = isOver ? [] : takeProgressWithin(known, MaximumCheckpointBytes);
         const hasProgress = progress.length > 0;
         return {
             submission: this.options.id,
@@ -298,15 +299,15 @@
     }
 
     /**
-     * Writes until the store says what became of it. A write without an answer is sent again as it was: it may still be
-     * carried out, and then the second one finds its own nonce. One that may be left out is, once it is known that nothing
-     * was done: a store that refuses is not asked again and again for what can be run again.
+     * Repeats a write until its outcome is known; returns whether it was applied. An unanswered write is repeated unchanged: if it
+     * is applied later, the repetition finds its own nonce in the head. An optional write (a checkpoint) is abandoned as soon as it
+     * is certain that it was not applied, so as not to load a failing store for work that can be repeated.
      */
-    private async writeUntilKnown(write: submissionStore.HeadWrite, mayLeaveOut = false): Promise<boolean> {
+    private async writeUntilKnown(write: submissionStore.HeadWrite, isOptional = false): Promise<boolean> {
         const events = new Map(this.items.map(owned => [owned.index, owned.texts.length]));
-        const pauses = new backoff.Backoff(FirstRetryMilliseconds, LongestRetryMilliseconds);
-        let mayBeDone = false;
-        for (let calls = 1; !this.isLost; calls++) {
+        const pauses = new backoff.Backoff(InitialRetryMilliseconds, MaximumRetryMilliseconds);
+        let mayBeWritten = false;
+        for (let calls = 1; !this.hasLostOwnership; calls++) {
             const outcome = await this.options.store.write(write);
             switch (outcome.kind) {
                 case submissionStore.WriteOutcomeKind.Written:
@@ -314,18 +315,18 @@
                         this.options.onListed(write.head.listed, calls);
                     }
                     this.stored = { head: write.head, revision: outcome.revision };
-                    this.keptEvents = events;
+                    this.checkpointedEvents = events;
                     return true;
                 case submissionStore.WriteOutcomeKind.Conflict:
                     this.resolveConflict(outcome.current);
                     return false;
                 case submissionStore.WriteOutcomeKind.NotDone:
-                    if (mayLeaveOut && !mayBeDone) {
+                    if (isOptional && !mayBeWritten) {
                         return false;
                     }
                     break;
                 case submissionStore.WriteOutcomeKind.Unknown:
-                    mayBeDone = true;
+                    mayBeWritten = true;
                     break;
             }
             await this.options.clock.sleep(pauses.next());
@@ -338,7 +339,7 @@
             this.hasEnded = true;
             this.stored = current;
         }
-        this.lose(current === undefined ? "it was removed" : `${current.head.owner} changed it`);
+        this.giveUpOwnership(current === undefined ? "it was removed" : `${current.head.owner} has changed it`);
     }
 
     private createHead(change: Partial<records.SubmissionHead>): records.SubmissionHead {
@@ -348,13 +349,14 @@
         return { ...this.stored.head, nonce: createNonce(), failures, ...change };
     }
 
-    private async writeInTurn(action: () => Promise<void>): Promise<void> {
+    /** Runs an action after all previous writes. */
+    private async enqueueWrite(action: () => Promise<void>): Promise<void> {
         const turn = this.lastWrite.then(action);
         this.lastWrite = turn.catch(() => undefined);
         await turn;
     }
 
-    private wake(): void {
+    private notifyWaiters(): void {
         [...this.waiters].forEach(waiter => waiter());
     }
 }
@@ -363,18 +365,18 @@
     return crypto.randomBytes(8).toString("hex");
 }
 
-/** A page of results that begins at `position`. */
+/** Creates a page of results that begins at `position`. */
 export function createPage(
     total: number,
     results: readonly types.BatchResult[],
     position: number,
     limitBytes: number,
 ): types.ResultPage {
-    const page = takeWithin(results, limitBytes);
+    const page = takeResultsWithin(results, limitBytes);
     return { total, next: position + page.length, results: page };
 }
 
-/** The items that have come furthest, up to `limitBytes` of text: they lose most when they start anew. */
+/** Selects the items with the most events, up to `limitBytes` of text: restarting them would cost the most. */
 function takeProgressWithin(progress: readonly records.ItemProgress[], limitBytes: number): records.ItemProgress[] {
     const taken: records.ItemProgress[] = [];
     let bytes = 0;
@@ -388,8 +390,8 @@
     return taken;
 }
 
-/** The first results, up to `limitBytes` of text, but one at least. */
-function takeWithin(results: readonly types.BatchResult[], limitBytes: number): types.BatchResult[] {
+/** Returns the first results, up to `limitBytes` of text but at least one. */
+function takeResultsWithin(results: readonly types.BatchResult[], limitBytes: number): types.BatchResult[] {
     const taken: types.BatchResult[] = [];
     let bytes = 0;
     for (const result of results) {
--- a/packages/gateway/src/submissionReader.ts
+++ b/packages/gateway/src/submissionReader.ts
@@ -6,18 +6,19 @@
 import * as submissionStore from "./submissionStore.js";
 import * as types from "./types.js";
 
-export type Answer<T> =
+/** Result of a call about a submission, or the reason why it is refused. */
+export type CallResult<T> =
     { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: types.RefusalReason };
 
-/** One page of results at most, in bytes of text: the platform's bound of a megabyte with room for escapes. */
-const PageBytes = 600_000;
-/** Time for a peer to answer: some milliseconds of way, and whatever a busy loop adds. */
+/** Maximum size of a page's texts. The platform limits a page to a megabyte, and JSON escapes need additional space. */
+const MaximumPageBytes = 600_000;
+/** Timeout of a request to a peer. A round trip takes some milliseconds; the rest allows for a busy event loop. */
 const PeerTimeoutMilliseconds = 600;
-const EndedMarkLimit = 10_000;
+const MaximumEndMarkers = 10_000;
 
-/** Answers for all submissions: from the member that runs one, or from what the store has of it. */
+/** Serves calls about any submission: at its owner if that is reachable, otherwise from the store. */
 export class SubmissionReader {
-    private readonly endedMarks = new Set<string>();
+    private readonly endMarkers = new Set<string>();
     private readonly parts: submissionRegistry.SubmissionServiceParts;
 
     constructor(private readonly registry: submissionRegistry.SubmissionRegistry) {
@@ -29,23 +30,23 @@
         network.handle(kinds.SubmissionEnd, async message => this.serveEnd(message));
     }
 
-    /** Results from a position on; waits up to a time for one to exist. */
-    async read(submission: string, position: number, waitMilliseconds: number): Promise<Answer<types.ResultPage>> {
+    /** Reads results from `position`, and waits up to `waitMilliseconds` for the first one. */
+    async read(submission: string, position: number, waitMilliseconds: number): Promise<CallResult<types.ResultPage>> {
         const own = this.registry.tryGetOwned(submission);
         if (own !== undefined) {
             await own.waitForPosition(position, waitMilliseconds);
-            return { ok: true, value: own.getPage(position, PageBytes) };
+            return { ok: true, value: own.getPage(position, MaximumPageBytes) };
         }
         const kind = protocol.MessageKind.SubmissionRead;
         const message = { kind, submission, position, waitMilliseconds } as const;
-        const reply = await this.askOwner(submission, message, waitMilliseconds + PeerTimeoutMilliseconds);
+        const reply = await this.requestFromOwner(submission, message, waitMilliseconds + PeerTimeoutMilliseconds);
         if (reply?.kind === protocol.MessageKind.SubmissionPage) {
             return { ok: true, value: toResultPage(reply) };
         }
         return this.readFromStore(submission, position);
     }
 
-    async readBody(submission: string, item: string): Promise<Answer<Uint8Array>> {
+    async readBody(submission: string, item: string): Promise<CallResult<Uint8Array>> {
         const own = this.registry.tryGetOwned(submission);
         if (own !== undefined) {
             const body = own.tryGetBody(item);
@@ -54,7 +55,7 @@
                 : { ok: true, value: body };
         }
         const message = { kind: protocol.MessageKind.SubmissionItemRead, submission, item } as const;
-        const reply = await this.askOwner(submission, message, PeerTimeoutMilliseconds);
+        const reply = await this.requestFromOwner(submission, message, PeerTimeoutMilliseconds);
         if (reply?.kind === protocol.MessageKind.SubmissionItemBody) {
             return reply.body === undefined
                 ? { ok: false, reason: types.RefusalReason.UnknownItem }
@@ -77,36 +78,36 @@
             : { ok: true, value: found.body };
     }
 
-    /** Ends a submission; repeating it changes nothing. */
-    async end(submission: string): Promise<Answer<undefined>> {
+    /** Ends a submission. Idempotent. */
+    async end(submission: string): Promise<CallResult<undefined>> {
         const own = this.registry.tryGetOwned(submission);
         if (own !== undefined) {
-            return this.endOwn(own);
+            return this.endOwned(own);
         }
         const message = { kind: protocol.MessageKind.SubmissionEnd, submission } as const;
-        const reply = await this.askOwner(submission, message, PeerTimeoutMilliseconds);
+        const reply = await this.requestFromOwner(submission, message, PeerTimeoutMilliseconds);
         if (reply?.kind === protocol.MessageKind.SubmissionEnded) {
             return { ok: true, value: undefined };
         }
         return this.endInStore(submission);
     }
 
-    /** Takes changes under the ended marks: an owner that a caller's front could not reach learns it here. */
-    applyEndedMarks(entries: readonly types.StoreEntry[]): void {
+    /** Applies changes of the end markers. They reach an owner that the member that received the caller's request can't reach. */
+    applyEndMarkers(entries: readonly types.StoreEntry[]): void {
         for (const entry of entries) {
             if (!entry.key.startsWith(memberDirectory.EndedPrefix) || entry.value === undefined) {
                 continue;
             }
             const id = decodeURIComponent(entry.key.slice(memberDirectory.EndedPrefix.length));
-            if (this.endedMarks.size < EndedMarkLimit) {
-                this.endedMarks.add(id);
+            if (this.endMarkers.size < MaximumEndMarkers) {
+                this.endMarkers.add(id);
             }
-            this.registry.tryGetOwned(id)?.lose("it was ended elsewhere");
+            this.registry.tryGetOwned(id)?.giveUpOwnership("another member ended it");
         }
     }
 
-    private async endOwn(own: ownedSubmission.OwnedSubmission): Promise<Answer<undefined>> {
-        // Running items stop first: whatever the store says, the caller wants no more of them.
+    private async endOwned(own: ownedSubmission.OwnedSubmission): Promise<CallResult<undefined>> {
+        // Running items stop first: the caller no longer wants them, whatever the outcome of the write.
         this.parts.scheduler.remove(own);
         if (!(await own.end())) {
             return this.endInStore(own.getId());
@@ -115,7 +116,7 @@
         return { ok: true, value: undefined };
     }
 
-    private async endInStore(submission: string): Promise<Answer<undefined>> {
+    private async endInStore(submission: string): Promise<CallResult<undefined>> {
         for (let round = 0; round < 5; round++) {
             const found = await this.parts.submissions.readHead(submission);
             if (!found.ok) {
@@ -143,8 +144,8 @@
         return { ok: false, reason: types.RefusalReason.StoreUnavailable };
     }
 
-    /** Asks the member that runs the submission; undefined where none is known or it doesn't answer. */
-    private async askOwner(
+    /** Sends a request to the submission's owner. Returns undefined if it is unknown or doesn't answer. */
+    private async requestFromOwner(
         submission: string,
         message: protocol.Message,
         timeoutMilliseconds: number,
@@ -172,7 +173,7 @@
         return reply.message;
     }
 
-    private async findHead(submission: string): Promise<Answer<submissionStore.StoredHead>> {
+    private async findHead(submission: string): Promise<CallResult<submissionStore.StoredHead>> {
         const found = await this.parts.submissions.readHead(submission);
         if (!found.ok) {
             return { ok: false, reason: types.RefusalReason.StoreUnavailable };
@@ -182,7 +183,7 @@
             : { ok: true, value: found.value };
     }
 
-    private async readFromStore(submission: string, position: number): Promise<Answer<types.ResultPage>> {
+    private async readFromStore(submission: string, position: number): Promise<CallResult<types.ResultPage>> {
         const stored = await this.findHead(submission);
         if (!stored.ok) {
             return stored;
@@ -196,7 +197,7 @@
             return { ok: false, reason: types.RefusalReason.StoreUnavailable };
         }
         const results = read.value.results.slice(position - read.value.first);
-        return { ok: true, value: ownedSubmission.createPage(head.itemCount, results, position, PageBytes) };
+        return { ok: true, value: ownedSubmission.createPage(head.itemCount, results, position, MaximumPageBytes) };
     }
 
     private async servePage(message: protocol.SubmissionRead): Promise<protocol.Message> {
@@ -205,7 +206,7 @@
             return { kind: protocol.MessageKind.Refused, text: "not run here" };
         }
         await own.waitForPosition(message.position, message.waitMilliseconds);
-        const page = own.getPage(message.position, PageBytes);
+        const page = own.getPage(message.position, MaximumPageBytes);
         return { kind: protocol.MessageKind.SubmissionPage, ...page };
     }
 
@@ -221,7 +222,7 @@
 
     private async serveEnd(message: protocol.SubmissionEnd): Promise<protocol.Message> {
         const own = this.registry.tryGetOwned(message.submission);
-        const ended = own === undefined ? undefined : await this.endOwn(own);
+        const ended = own === undefined ? undefined : await this.endOwned(own);
         return ended?.ok === true
             ? { kind: protocol.MessageKind.SubmissionEnded }
             : { kind: protocol.MessageKind.Refused, text: "not run here, or not ended" };
--- a/packages/gateway/src/submissionRecords.ts
+++ b/packages/gateway/src/submissionRecords.ts
@@ -5,37 +5,38 @@
 import * as types from "./types.js";
 
 /**
- * What the metadata store keeps of a submission:
+ * The head of a submission. The metadata store holds four kinds of records for a submission:
  *
- * - the head: small, written with every change; its revision is the fence between two owners;
+ * - the head, which is small and written with every change; its revision is the fencing number between owners;
  * - the items, in parts, written once together with the head before the submission is acknowledged;
- * - segments of results, each written once in the transaction that lists it in the head;
- * - the progress of the items that have no result yet, written over again and again, removed with the last result.
+ * - segments of results, each written once, in the transaction that lists it in the head;
+ * - the progress of the items that have no result yet, overwritten repeatedly and removed with the last result.
  */
 export interface SubmissionHead {
-    /** Member that runs it. */
+    /** Id of the member that runs the submission. */
     readonly owner: core.InstanceId;
-    /** New with each write: tells an own write whose answer was lost from another's. */
+    /** Unique for each write, so that a member can recognize its own write if the store's answer was lost. */
     readonly nonce: string;
     readonly host: string;
-    /** Path under which it was submitted; finds its route in each configuration. */
+    /** Path to which the submission was sent. It determines the route in each configuration. */
     readonly target: string;
     readonly acceptedAt: core.WallMilliseconds;
     readonly itemCount: number;
     readonly itemParts: number;
-    /** First position of each segment of results; the next one begins at `listed`. */
+    /** Position of the first result of each segment. The next segment starts at `listed`. */
     readonly segments: readonly number[];
+    /** Number of results in the segments. */
     readonly listed: number;
     readonly isEnded: boolean;
-    /** Answers that count against an item, by its index: kept so that a new owner doesn't start anew. */
+    /** Failed attempts by item index. Stored so that a new owner continues the count. */
     readonly failures: readonly (readonly [item: number, count: number])[];
-    /** Whether the progress of items is kept beside it. */
+    /** Whether a progress record exists. */
     readonly hasProgress: boolean;
-    /** Whose it is; undefined where its route needed no key. */
+    /** Name of the customer; undefined if the route needed no key. */
     readonly customer?: string | undefined;
 }
 
-/** Index of an item, id of its last event, data of its events so far. */
+/** Index of an item, id of its last event, and the data of its events so far. */
 export type ItemProgress = readonly [item: number, lastEventId: number, texts: readonly string[]];
 
 const HeadSchema = zod.object({
@@ -50,7 +51,7 @@
     listed: zod.number(),
     isEnded: zod.boolean(),
     failures: zod.array(zod.tuple([zod.number(), zod.number()])),
-    // Absent in heads of the version before: an upgrade, instance by instance, must not make their submissions unknown.
+    // Missing in heads that an earlier version wrote. During a rolling upgrade, such submissions must remain readable.
     hasProgress: zod.boolean().default(false),
     customer: zod.string().optional(),
 });
@@ -67,28 +68,28 @@
 
 const ResultSchema = zod.object({ id: zod.string(), state: zod.enum(types.ResultState), text: zod.string() });
 
-/** Prefix of the heads alone: a member that looks for what nobody owns lists them without items and results. */
+/** Prefix of the heads only, so that a scan for submissions without an owner reads no items and results. */
 export const HeadPrefix = "boragedale/head/";
 const ItemsPrefix = "boragedale/items/";
 const ResultsPrefix = "boragedale/results/";
 const ProgressPrefix = "boragedale/progress/";
 
-/** Keys are limited to 200 bytes; an id that makes a longer one names no submission that could exist. */
-export const LongestIdBytes = 120;
+/** Maximum size of a scoped submission id. Keys in the store are limited to 200 bytes. */
+export const MaximumIdBytes = 120;
 
-/** Between the customer's and the submission's part of an id; a header can't hold it, so no caller's id does. */
+/** Separates the customer's part of a scoped id from the caller's id. It can't occur in a header, so no caller's id contains it. */
 const ScopeSeparator = "\u001f";
 const ScopeLength = 16;
 
 /**
- * The id under which a customer's submission is kept. Another customer that uses the same id means another submission: it neither
- * reads nor ends this one, nor learns that it exists.
+ * Creates the id under which a customer's submission is stored. If two customers use the same id, they have separate submissions:
+ * neither can read or end the other's, or detect that it exists.
  */
 export function scopeId(id: string, customer: string | undefined): string {
     return customer === undefined ? id : customers.digestKey(customer).slice(0, ScopeLength) + ScopeSeparator + id;
 }
 
-/** Whether a caller can have submitted under the id. */
+/** Whether the id can come from a caller, as opposed to a scoped id. */
 export function isCallerId(id: string): boolean {
     return !id.includes(ScopeSeparator);
 }
@@ -123,7 +124,7 @@
     return tryDecode(HeadSchema, value);
 }
 
-/** Splits items into parts whose encoding stays under `limit` bytes; undefined where one alone is larger. */
+/** Encodes items in parts of about `limit` bytes. Returns undefined if a single item is larger. */
 export function tryEncodeItems(items: readonly types.BatchItem[], limit: number): Uint8Array[] | undefined {
     const parts: types.BatchItem[][] = [[]];
     let bytes = 0;
@@ -172,7 +173,7 @@
         return parsed.success ? parsed.data : undefined;
     }
     catch {
-        // The callers report it: a record that can't be read is never taken as absent.
+        // Callers report the error. An unreadable record must not be treated as absent.
         return undefined;
     }
 }
--- a/packages/gateway/src/submissionRegistry.ts
+++ b/packages/gateway/src/submissionRegistry.ts
@@ -10,6 +10,7 @@
 import type * as submissionStore from "./submissionStore.js";
 import type * as types from "./types.js";
 
+/** Dependencies of `SubmissionService` and the classes that it uses. */
 export interface SubmissionServiceParts {
     readonly store: metadataStore.MetadataStore;
     readonly submissions: submissionStore.SubmissionStore;
@@ -19,23 +20,23 @@
     readonly scheduler: itemScheduler.ItemScheduler;
     readonly clock: core.Clock;
     readonly log: gatewayLog.GatewayLog;
-    /** How long a submission stays readable after it was accepted. */
+    /** Time for which a submission can be read after its acceptance. */
     readonly retentionMilliseconds: number;
 }
 
-/** Longest time that a peer is given to keep a submission for this member. */
-export const ForwardMilliseconds = 1_200;
+/** Timeout of a request that a peer take over a submission. */
+export const HandoverTimeoutMilliseconds = 1_200;
 
 /**
- * The submissions that this member runs, and who runs the others as far as it knows: what accepting, reading and taking over
- * share.
+ * The submissions that this member owns, and the known owners of others. Shared by the classes that accept, read and take over
+ * submissions.
  */
 export class SubmissionRegistry {
     private readonly owned = new Map<string, ownedSubmission.OwnedSubmission>();
     private readonly owners = new Map<string, core.InstanceId>();
-    private readonly leavingPeers = new Set<core.InstanceId>();
-    /** Set once this member stops: it accepts and takes over nothing more itself. */
-    isLeaving = false;
+    private readonly peersShuttingDown = new Set<core.InstanceId>();
+    /** Set when this member shuts down. It then takes over no submissions and accepts new ones only if no peer does. */
+    isShuttingDown = false;
 
     constructor(readonly parts: SubmissionServiceParts) {
         parts.network.handle(protocol.MessageKind.SubmissionOwned, async (message, from) => {
@@ -43,7 +44,7 @@
             return undefined;
         });
         parts.network.handle(protocol.MessageKind.Leaving, async (message, from) => {
-            this.leavingPeers.add(from);
+            this.peersShuttingDown.add(from);
             return undefined;
         });
     }
@@ -56,7 +57,7 @@
         return [...this.owned.values()];
     }
 
-    /** Whether somebody is known to run it. */
+    /** Whether an owner of the submission is known. */
     isKnown(submission: string): boolean {
         return this.owned.has(submission) || this.owners.has(submission);
     }
@@ -73,18 +74,18 @@
         this.owners.delete(submission);
     }
 
-    /** Forgets what members that are gone were believed to run. */
-    forgetOwners(gone: readonly core.InstanceId[]): void {
-        const lost = new Set(gone);
+    /** Forgets removed members as owners. */
+    forgetOwners(removed: readonly core.InstanceId[]): void {
+        const removedMembers = new Set(removed);
         for (const [submission, owner] of this.owners) {
-            if (lost.has(owner)) {
+            if (removedMembers.has(owner)) {
                 this.owners.delete(submission);
             }
         }
     }
 
-    /** Runs a submission here from now on, and tells the peers. */
-    own(
+    /** Starts to run a submission at this member, and notifies the peers. */
+    startOwning(
         id: string,
         stored: submissionStore.StoredHead,
         items: readonly types.BatchItem[],
@@ -98,7 +99,7 @@
             results,
             store: this.parts.submissions,
             clock: this.parts.clock,
-            onLost: reason => this.drop(submission, reason),
+            onOwnershipLost: reason => this.handleOwnershipLost(submission, reason),
             onListed: (count, calls) =>
                 this.parts.log.note(gatewayLog.GatewayEvent.ResultsListed, { submission: id, count, calls }),
         });
@@ -117,20 +118,20 @@
         }
     }
 
-    /** A complete submission that needs no owner any more. */
-    release(submission: ownedSubmission.OwnedSubmission): void {
+    /** Removes a complete submission, which needs no owner any more. */
+    remove(submission: ownedSubmission.OwnedSubmission): void {
         this.owned.delete(submission.getId());
     }
 
-    /** A linked peer that does not stop, for what this member can't keep. */
-    chooseStayingPeer(except: ReadonlySet<core.InstanceId> = new Set()): core.InstanceId | undefined {
+    /** Chooses a connected peer that is not shutting down, to accept or take over a submission from this member. */
+    chooseActivePeer(except: ReadonlySet<core.InstanceId> = new Set()): core.InstanceId | undefined {
         const peers = this.parts.network
             .getConnectedPeers()
-            .filter(peer => !this.leavingPeers.has(peer) && !except.has(peer));
+            .filter(peer => !this.peersShuttingDown.has(peer) && !except.has(peer));
         return peers[Math.floor(Math.random() * peers.length)];
     }
 
-    private drop(submission: ownedSubmission.OwnedSubmission, reason: string): void {
+    private handleOwnershipLost(submission: ownedSubmission.OwnedSubmission, reason: string): void {
         const id = submission.getId();
         if (this.owned.get(id) === submission) {
             this.owned.delete(id);
--- a/packages/gateway/src/submissionService.ts
+++ b/packages/gateway/src/submissionService.ts
@@ -10,18 +10,19 @@
 import * as submissionTakeover from "./submissionTakeover.js";
 import * as types from "./types.js";
 
+/** A submission that a caller asks the gateway to accept. */
 export interface NewSubmission {
     readonly id: string;
     readonly host: string;
     readonly target: string;
     readonly items: readonly types.BatchItem[];
-    /** Undefined where the route needs no key. */
+    /** Name of the customer; undefined if the route needs no key. */
     readonly customer: string | undefined;
-    /** Until when the caller waits. */
+    /** Time until which the caller waits. */
     readonly deadline: core.MonotonicMilliseconds;
 }
 
-/** A submission as its caller names it; two customers may use the same id. */
+/** Names a submission as its caller does. Different customers may use the same id. */
 export interface SubmissionName {
     readonly id: string;
     readonly customer: string | undefined;
@@ -29,45 +30,46 @@
 
 export type AcceptOutcome = { readonly ok: true } | { readonly ok: false; readonly refusal: types.GatewayRefusal };
 
-const ItemPartBytes = 500_000;
-/** Each refused call has its price, and an outage lasts seconds. */
-const StoreRetryMilliseconds = 300;
-/** When to come back while the store does not answer: an outage lasts seconds. */
+/** Maximum size of a stored part of the items. */
+const MaximumItemPartBytes = 500_000;
+/** Pause between attempts to write. Each rejected call has a cost, and outages last seconds. */
+const StoreRetryPauseMilliseconds = 300;
+/** Retry delay given to callers while the store doesn't answer. Outages last seconds. */
 const StoreRetryAfterMilliseconds = 1_000;
 
-/** An own write that takes longer is late: the store answers in milliseconds, callers expect to hear within some hundred. */
-const OwnWriteMilliseconds = 120;
-/** After a failure of the store peers are asked at once for this long: the platform's bound for a sound store. */
-const StoreDoubtMilliseconds = 3_000;
-/** Time for a peer to keep a submission: two ways, and a write that may be repeated once. */
-const PeerKeepMilliseconds = 450;
-/** With a third of the members cut off, three peers in a row are hit once in thirty times. */
-const MostPeersAsked = 3;
+/** A write that takes longer counts as slow: the store answers in milliseconds, and callers expect an answer in a few hundred. */
+const SlowWriteMilliseconds = 120;
+/** Time after a failure of the store for which peers are asked at once: the platform's limit for a working store. */
+const StoreSuspicionMilliseconds = 3_000;
+/** Timeout of a request that a peer store a submission: a round trip and a write that may be repeated once. */
+const PeerTimeoutMilliseconds = 450;
+/** If a third of the members are cut off from the store, three peers in a row are affected in one of thirty cases. */
+const MaximumPeersAsked = 3;
 
-/** What became of an attempt to make a submission durable. */
-enum KeepOutcome {
-    Kept = "Kept",
-    /** Certain: nothing of it will ever run. */
-    NotKept = "NotKept",
-    /** A write or a message went out and was not answered. */
+/** Outcome of an attempt to store a submission. */
+enum StorageOutcome {
+    Stored = "Stored",
+    /** The submission is certainly not stored, and none of its items will run. */
+    NotStored = "NotStored",
+    /** A write or a message was sent and not answered. */
     Uncertain = "Uncertain",
 }
 
-/** What the store gets of a new submission. */
-interface SubmissionRecord {
+/** Records to be written for a new submission. */
+interface NewRecords {
     readonly head: records.SubmissionHead;
     readonly puts: readonly metadataStore.Put[];
 }
 
-/** Accepts submissions, and joins what runs, reads and takes them over. */
+/** Accepts submissions. Delegates other operations to the registry, the reader and the takeover. */
 export class SubmissionService implements AsyncDisposable {
     private readonly registry: submissionRegistry.SubmissionRegistry;
     private readonly reader: submissionReader.SubmissionReader;
     private readonly takeover: submissionTakeover.SubmissionTakeover;
-    /** Until then the store is believed to fail this member, and peers are asked at once. */
-    private storeDoubtedUntil: core.MonotonicMilliseconds = -Infinity;
-    /** What the store last failed with; for the log line of a refusal. */
-    private lastFailure = "";
+    /** Until this time peers are asked at once, since the store has recently failed for this member. */
+    private storeSuspectUntil: core.MonotonicMilliseconds = -Infinity;
+    /** The store's last failure, which is logged when a submission is refused. */
+    private lastStoreFailure = "";
 
     constructor(private readonly parts: submissionRegistry.SubmissionServiceParts) {
         this.registry = new submissionRegistry.SubmissionRegistry(parts);
@@ -76,56 +78,56 @@
         parts.network.handle(protocol.MessageKind.SubmissionForward, async message => this.serveForward(message));
     }
 
-    /** Makes a submission durable and runs it; accepted once, however often its customer sends it. */
+    /** Stores a submission and starts to run it. Repeated submissions with the same id are accepted without effect. */
     async accept(requested: NewSubmission): Promise<AcceptOutcome> {
         const submission = { ...requested, id: records.scopeId(requested.id, requested.customer) };
         if (this.registry.isKnown(submission.id)) {
             return { ok: true };
         }
-        const record = this.tryCreateRecord(submission);
-        if (record === undefined) {
+        const newRecords = this.tryCreateRecords(submission);
+        if (newRecords === undefined) {
             return { ok: false, refusal: { reason: types.RefusalReason.BodyTooLarge } };
         }
-        const outcome = this.registry.isLeaving
-            ? await this.keepAtPeerOrHere(submission, record)
-            : await this.keepHereOrAtPeer(submission, record);
-        return outcome === KeepOutcome.Kept ? { ok: true } : this.refuseUnstored(submission, outcome);
+        const outcome = this.registry.isShuttingDown
+            ? await this.storeAtPeerOrLocally(submission, newRecords)
+            : await this.storeLocallyOrAtPeer(submission, newRecords);
+        return outcome === StorageOutcome.Stored ? { ok: true } : this.refuse(submission, outcome);
     }
 
-    /** Results from a position on; waits up to a time for one to exist. */
+    /** Reads results from `position`, and waits up to `waitMilliseconds` for the first one. */
     async read(
         submission: SubmissionName,
         position: number,
         waitMilliseconds: number,
-    ): Promise<submissionReader.Answer<types.ResultPage>> {
-        return this.lookUp(submission, id => this.reader.read(id, position, waitMilliseconds));
+    ): Promise<submissionReader.CallResult<types.ResultPage>> {
+        return this.callWithScopedId(submission, id => this.reader.read(id, position, waitMilliseconds));
     }
 
-    async readBody(submission: SubmissionName, item: string): Promise<submissionReader.Answer<Uint8Array>> {
-        return this.lookUp(submission, id => this.reader.readBody(id, item));
+    async readBody(submission: SubmissionName, item: string): Promise<submissionReader.CallResult<Uint8Array>> {
+        return this.callWithScopedId(submission, id => this.reader.readBody(id, item));
     }
 
-    /** Ends a submission; repeating it changes nothing. */
-    async end(submission: SubmissionName): Promise<submissionReader.Answer<undefined>> {
-        return this.lookUp(submission, id => this.reader.end(id));
+    /** Ends a submission. Idempotent. */
+    async end(submission: SubmissionName): Promise<submissionReader.CallResult<undefined>> {
+        return this.callWithScopedId(submission, id => this.reader.end(id));
     }
 
-    /** Takes changes under the ended marks. */
+    /** Applies changes of the end markers, which report to owners that another member has ended their submissions. */
     applyEndedMarks(entries: readonly types.StoreEntry[]): void {
-        this.reader.applyEndedMarks(entries);
+        this.reader.applyEndMarkers(entries);
     }
 
-    /** The task that finds submissions without an owner, and removes those whose retention is over. */
+    /** Regularly takes over submissions without an owner, and removes those whose retention period has ended. */
     async run(): Promise<void> {
         await this.takeover.run();
     }
 
-    /** Has the others take over all that this member owns, until the stop is over. */
+    /** Hands over all submissions that this member owns to its peers, until the service is disposed. */
     async handOver(): Promise<void> {
         await this.takeover.handOver();
     }
 
-    /** Submissions here that still have items to run. */
+    /** Number of owned submissions that still have items to run. */
     getActiveCount(): number {
         return this.registry.getAllOwned().filter(own => own.isActive() && !own.isComplete()).length;
     }
@@ -136,95 +138,98 @@
 
     async [Symbol.asyncDispose](): Promise<void> {
         await this.takeover[Symbol.asyncDispose]();
-        this.registry.getAllOwned().forEach(submission => submission.lose("this member stops"));
+        this.registry.getAllOwned().forEach(submission => submission.giveUpOwnership("this member shuts down"));
     }
 
-    /** A submission of no customer, from before there were any or of a route without keys, is open to all. */
-    private async lookUp<T>(
+    /**
+     * Applies an operation to the customer's submission or, if that doesn't exist, to the one without a customer. Submissions that
+     * were accepted before customers were configured, or on a route without keys, are accessible to all customers.
+     */
+    private async callWithScopedId<T>(
         { id, customer }: SubmissionName,
-        look: (id: string) => Promise<submissionReader.Answer<T>>,
-    ): Promise<submissionReader.Answer<T>> {
+        operation: (id: string) => Promise<submissionReader.CallResult<T>>,
+    ): Promise<submissionReader.CallResult<T>> {
         if (!records.isCallerId(id)) {
             return { ok: false, reason: types.RefusalReason.UnknownSubmission };
         }
-        const found = await look(records.scopeId(id, customer));
+        const found = await operation(records.scopeId(id, customer));
         const isUnknown = !found.ok && found.reason === types.RefusalReason.UnknownSubmission;
-        return isUnknown && customer !== undefined ? look(id) : found;
+        return isUnknown && customer !== undefined ? operation(id) : found;
     }
 
-    /** A member that stops keeps nothing itself while a peer does: its own would wait for somebody to take it over. */
-    private async keepAtPeerOrHere(submission: NewSubmission, record: SubmissionRecord): Promise<KeepOutcome> {
-        const atPeer = await this.keepAtPeer(submission);
-        if (atPeer === KeepOutcome.Kept) {
+    /** Used during shutdown: a submission stored by this member would have to wait until another one takes it over. */
+    private async storeAtPeerOrLocally(submission: NewSubmission, newRecords: NewRecords): Promise<StorageOutcome> {
+        const atPeer = await this.storeAtPeer(submission);
+        if (atPeer === StorageOutcome.Stored) {
             return atPeer;
         }
-        return combineOutcomes(atPeer, await this.keepHere(submission, record));
+        return combineOutcomes(atPeer, await this.storeLocally(submission, newRecords));
     }
 
     /**
-     * The store may turn this member away, or be silent towards it, while it serves the others: the caller would wait for
-     * seconds, or be refused while the platform works. A peer is asked as soon as the own write is late. It is the same
-     * submission: whichever write comes second meets the first and does nothing.
+     * Asks a peer to store the submission if the local write is slow. The store may reject or ignore this member's calls while it
+     * serves others, and the caller would wait for seconds or be refused although the platform works. Both writes create
+     * the head under the same key, on condition that it doesn't exist, so the later one has no effect.
      */
-    private async keepHereOrAtPeer(submission: NewSubmission, record: SubmissionRecord): Promise<KeepOutcome> {
+    private async storeLocallyOrAtPeer(submission: NewSubmission, newRecords: NewRecords): Promise<StorageOutcome> {
         const { clock } = this.parts;
-        const here = this.keepHere(submission, record);
-        const patience = clock.now() < this.storeDoubtedUntil ? 0 : OwnWriteMilliseconds;
-        const early = await Promise.race([here, clock.sleep(patience).then(() => undefined)]);
-        if (early === KeepOutcome.Kept) {
+        const localWrite = this.storeLocally(submission, newRecords);
+        const peerDelay = clock.now() < this.storeSuspectUntil ? 0 : SlowWriteMilliseconds;
+        const early = await Promise.race([localWrite, clock.sleep(peerDelay).then(() => undefined)]);
+        if (early === StorageOutcome.Stored) {
             return early;
         }
-        const atPeer = this.keepAtPeer(submission);
-        const first = await Promise.race([here, atPeer]);
-        return first === KeepOutcome.Kept ? first : combineOutcomes(await here, await atPeer);
+        const atPeer = this.storeAtPeer(submission);
+        const first = await Promise.race([localWrite, atPeer]);
+        return first === StorageOutcome.Stored ? first : combineOutcomes(await localWrite, await atPeer);
     }
 
-    /** Writes until the store says what became of it, or until the caller has left. */
-    private async keepHere(submission: NewSubmission, record: SubmissionRecord): Promise<KeepOutcome> {
+    /** Repeats the write until its outcome is known or the caller's deadline would pass. */
+    private async storeLocally(submission: NewSubmission, newRecords: NewRecords): Promise<StorageOutcome> {
         const { clock } = this.parts;
-        const { head, puts } = record;
+        const { head, puts } = newRecords;
         let isUncertain = false;
         while (!this.registry.isKnown(submission.id)) {
             const outcome = await this.parts.submissions.write({ submission: submission.id, head, expected: 0, puts });
             switch (outcome.kind) {
                 case submissionStore.WriteOutcomeKind.Written:
                     this.start(submission, { head, revision: outcome.revision });
-                    return KeepOutcome.Kept;
+                    return StorageOutcome.Stored;
                 case submissionStore.WriteOutcomeKind.Conflict:
-                    // It was accepted before, here or elsewhere.
+                    // This or another member has already accepted it.
                     if (outcome.current !== undefined) {
                         this.registry.setOwner(submission.id, outcome.current.head.owner);
                     }
-                    return KeepOutcome.Kept;
+                    return StorageOutcome.Stored;
                 case submissionStore.WriteOutcomeKind.Unknown:
                     isUncertain = true;
                     break;
                 case submissionStore.WriteOutcomeKind.NotDone:
                     break;
             }
-            this.storeDoubtedUntil = clock.now() + StoreDoubtMilliseconds;
-            this.lastFailure = outcome.text;
-            if (clock.now() + StoreRetryMilliseconds > submission.deadline) {
-                return isUncertain ? KeepOutcome.Uncertain : KeepOutcome.NotKept;
+            this.storeSuspectUntil = clock.now() + StoreSuspicionMilliseconds;
+            this.lastStoreFailure = outcome.text;
+            if (clock.now() + StoreRetryPauseMilliseconds > submission.deadline) {
+                return isUncertain ? StorageOutcome.Uncertain : StorageOutcome.NotStored;
             }
-            await clock.sleep(StoreRetryMilliseconds);
+            await clock.sleep(StoreRetryPauseMilliseconds);
         }
-        return KeepOutcome.Kept;
+        return StorageOutcome.Stored;
     }
 
-    /** Asks peers one after the other: one may be cut off from the store as well. */
-    private async keepAtPeer(submission: NewSubmission): Promise<KeepOutcome> {
+    /** Asks several peers in turn, since a peer may be cut off from the store as well. */
+    private async storeAtPeer(submission: NewSubmission): Promise<StorageOutcome> {
         const asked = new Set<core.InstanceId>();
-        let result = KeepOutcome.NotKept;
-        while (asked.size < MostPeersAsked) {
-            const peer = this.registry.chooseStayingPeer(asked);
+        let result = StorageOutcome.NotStored;
+        while (asked.size < MaximumPeersAsked) {
+            const peer = this.registry.chooseActivePeer(asked);
             const remaining = submission.deadline - this.parts.clock.now();
             if (peer === undefined || remaining <= 0) {
                 return result;
             }
             asked.add(peer);
-            const outcome = await this.askToKeep(peer, submission, Math.min(PeerKeepMilliseconds, remaining));
-            if (outcome === KeepOutcome.Kept) {
+            const outcome = await this.requestStorage(peer, submission, Math.min(PeerTimeoutMilliseconds, remaining));
+            if (outcome === StorageOutcome.Stored) {
                 return outcome;
             }
             result = combineOutcomes(result, outcome);
@@ -232,11 +237,11 @@
         return result;
     }
 
-    private async askToKeep(
+    private async requestStorage(
         peer: core.InstanceId,
         submission: NewSubmission,
         waitMilliseconds: number,
-    ): Promise<KeepOutcome> {
+    ): Promise<StorageOutcome> {
         const message = {
             kind: protocol.MessageKind.SubmissionForward,
             submission: submission.id,
@@ -251,17 +256,19 @@
             timeoutMilliseconds: waitMilliseconds,
         });
         if (!reply.ok) {
-            // Only a message that was not sent is certain to have done nothing.
-            return reply.kind === protocol.PeerFailureKind.NotConnected ? KeepOutcome.NotKept : KeepOutcome.Uncertain;
+            // Only if the message was not sent is it certain that the peer did nothing.
+            return reply.kind === protocol.PeerFailureKind.NotConnected
+                ? StorageOutcome.NotStored
+                : StorageOutcome.Uncertain;
         }
         switch (reply.message.kind) {
             case protocol.MessageKind.SubmissionKept:
                 this.registry.setOwner(submission.id, peer);
-                return KeepOutcome.Kept;
+                return StorageOutcome.Stored;
             case protocol.MessageKind.SubmissionNotKept:
-                return reply.message.isCertain ? KeepOutcome.NotKept : KeepOutcome.Uncertain;
+                return reply.message.isCertain ? StorageOutcome.NotStored : StorageOutcome.Uncertain;
             default:
-                return KeepOutcome.Uncertain;
+                return StorageOutcome.Uncertain;
         }
     }
 
@@ -270,21 +277,21 @@
         const { submission: id, host, target, customer } = message;
         const deadline = this.parts.clock.now() + message.waitMilliseconds;
         const submission = items === undefined ? undefined : { id, host, target, items, customer, deadline };
-        const record = submission === undefined ? undefined : this.tryCreateRecord(submission);
-        if (submission === undefined || record === undefined) {
+        const newRecords = submission === undefined ? undefined : this.tryCreateRecords(submission);
+        if (submission === undefined || newRecords === undefined) {
             return { kind: protocol.MessageKind.SubmissionNotKept, isCertain: true };
         }
-        const outcome = await this.keepHere(submission, record);
-        return outcome === KeepOutcome.Kept
+        const outcome = await this.storeLocally(submission, newRecords);
+        return outcome === StorageOutcome.Stored
             ? { kind: protocol.MessageKind.SubmissionKept }
-            : { kind: protocol.MessageKind.SubmissionNotKept, isCertain: outcome === KeepOutcome.NotKept };
+            : { kind: protocol.MessageKind.SubmissionNotKept, isCertain: outcome === StorageOutcome.NotStored };
     }
 
-    /** What is written of it; undefined where it is too large for the store. */
-    private tryCreateRecord(submission: NewSubmission): SubmissionRecord | undefined {
-        const parts = records.tryEncodeItems(submission.items, ItemPartBytes);
+    /** Creates the records of a submission; undefined if it is too large for the store. */
+    private tryCreateRecords(submission: NewSubmission): NewRecords | undefined {
+        const parts = records.tryEncodeItems(submission.items, MaximumItemPartBytes);
         const isTooLarge = parts === undefined || parts.length >= metadataStore.MaximumTransactionEntries - 1;
-        if (isTooLarge || Buffer.byteLength(submission.id) > records.LongestIdBytes) {
+        if (isTooLarge || Buffer.byteLength(submission.id) > records.MaximumIdBytes) {
             return undefined;
         }
         const head = this.createHead(submission, parts.length);
@@ -316,15 +323,15 @@
             items: submission.items.length,
             revision: stored.revision,
         });
-        this.registry.own(submission.id, stored, submission.items, []);
+        this.registry.startOwning(submission.id, stored, submission.items, []);
     }
 
-    /** What may have been written must not be refused with a promise that nothing runs. */
-    private refuseUnstored(submission: NewSubmission, outcome: KeepOutcome): AcceptOutcome {
-        const isUncertain = outcome === KeepOutcome.Uncertain;
+    /** Refuses a submission. The reason states that nothing runs only if the submission was certainly not stored. */
+    private refuse(submission: NewSubmission, outcome: StorageOutcome): AcceptOutcome {
+        const isUncertain = outcome === StorageOutcome.Uncertain;
         this.parts.log.note(gatewayLog.GatewayEvent.SubmissionRefused, {
             submission: submission.id,
-            text: this.lastFailure,
+            text: this.lastStoreFailure,
             isUncertain,
         });
         const reason = isUncertain ? types.RefusalReason.OutcomeUnknown : types.RefusalReason.StoreUnavailable;
@@ -332,11 +339,11 @@
     }
 }
 
-function combineOutcomes(left: KeepOutcome, right: KeepOutcome): KeepOutcome {
-    if (left === KeepOutcome.Kept || right === KeepOutcome.Kept) {
-        return KeepOutcome.Kept;
+function combineOutcomes(left: StorageOutcome, right: StorageOutcome): StorageOutcome {
+    if (left === StorageOutcome.Stored || right === StorageOutcome.Stored) {
+        return StorageOutcome.Stored;
     }
-    return left === KeepOutcome.Uncertain || right === KeepOutcome.Uncertain
-        ? KeepOutcome.Uncertain
-        : KeepOutcome.NotKept;
+    return left === StorageOutcome.Uncertain || right === StorageOutcome.Uncertain
+        ? StorageOutcome.Uncertain
+        : StorageOutcome.NotStored;
 }
--- a/packages/gateway/src/submissionStore.ts
+++ b/packages/gateway/src/submissionStore.ts
@@ -2,7 +2,7 @@
 import * as records from "./submissionRecords.js";
 import type * as types from "./types.js";
 
-/** A head with the revision that fences its next write. */
+/** A head and its revision, which is the fencing number of the next write. */
 export interface StoredHead {
     readonly head: records.SubmissionHead;
     readonly revision: types.Revision;
@@ -10,11 +10,11 @@
 
 export enum WriteOutcomeKind {
     Written = "Written",
-    /** Somebody else changed the head; it is as given, or gone. */
+    /** Another member has changed or removed the head. */
     Conflict = "Conflict",
     /** Nothing was written. */
     NotDone = "NotDone",
-    /** It may have been written, or may yet be. */
+    /** The write may have been applied, or may still be applied later. */
     Unknown = "Unknown",
 }
 
@@ -26,13 +26,13 @@
 export interface HeadWrite {
     readonly submission: string;
     readonly head: records.SubmissionHead;
-    /** Revision that the head must have; 0: it must not exist. */
+    /** Revision that the head must have; 0 if it must not exist. */
     readonly expected: types.Revision;
     readonly puts: readonly metadataStore.Put[];
     readonly deletes?: readonly string[];
 }
 
-/** Reads and writes of submissions; every write is fenced by the head's revision. */
+/** Reads and writes the records of submissions. Every write is fenced by the head's revision. */
 export class SubmissionStore {
     constructor(private readonly store: metadataStore.MetadataStore) {}
 
@@ -52,14 +52,14 @@
             return { kind: WriteOutcomeKind.Written, revision: result.value.revision };
         }
         const current = toStoredHead(result.value.current.find(entry => entry.key === key));
-        // A lost answer followed by the same write again ends here: the head is our own.
+        // An earlier try of this write succeeded, but its answer was lost.
         if (current !== undefined && current.head.nonce === write.head.nonce) {
             return { kind: WriteOutcomeKind.Written, revision: current.revision };
         }
         return { kind: WriteOutcomeKind.Conflict, current };
     }
 
-    /** Linearizable; undefined where there is no such submission. */
+    /** Linearizable read; undefined if the submission doesn't exist. */
     async readHead(submission: string): Promise<metadataStore.StoreResult<StoredHead | undefined>> {
         const result = await this.store.read(records.getHeadKey(submission));
         return result.ok ? { ok: true, value: toStoredHead(result.value) } : result;
@@ -73,20 +73,20 @@
         return this.readAll(parts, records.tryDecodeItems);
     }
 
-    /** Results from the segment that holds `position` to the end of what is listed. */
+    /** Reads all results from the beginning of the segment that contains `position`. */
     async readResults(
         submission: string,
         head: records.SubmissionHead,
         position: number,
     ): Promise<metadataStore.StoreResult<{ first: number; results: readonly types.BatchResult[] }>> {
         const first = head.segments.filter(start => start <= position).at(-1) ?? 0;
-        const wanted = head.segments.filter(start => start >= first);
-        const keys = wanted.map(start => records.getResultsKey(submission, start));
+        const starts = head.segments.filter(start => start >= first);
+        const keys = starts.map(start => records.getResultsKey(submission, start));
         const read = await this.readAll(keys, records.tryDecodeResults);
         return read.ok ? { ok: true, value: { first, results: read.value } } : read;
     }
 
-    /** How far the items have come that have no result; none where it is not kept or can't be read: they start anew. */
+    /** Reads the progress of items without a result. Returns none if it is missing or unreadable; the items then start over. */
     async readProgress(
         submission: string,
         head: records.SubmissionHead,
@@ -102,7 +102,7 @@
         return { ok: true, value: (value === undefined ? undefined : records.tryDecodeProgress(value)) ?? [] };
     }
 
-    /** All heads; `allowStale` costs a tenth and may miss the newest. */
+    /** Lists all heads. `allowStale` has a tenth of the cost and may miss the latest changes. */
     async listHeads(allowStale: boolean): Promise<metadataStore.StoreResult<ReadonlyMap<string, StoredHead>>> {
         const result = await this.store.list(records.HeadPrefix, allowStale);
         if (!result.ok) {
@@ -118,7 +118,7 @@
         return { ok: true, value: heads };
     }
 
-    /** Removes a submission whose retention is over. */
+    /** Removes a submission whose retention period has ended. */
     async remove(submission: string, stored: StoredHead): Promise<void> {
         const headKey = records.getHeadKey(submission);
         const keys = [
@@ -128,7 +128,7 @@
             ...(stored.head.hasProgress ? [records.getProgressKey(submission)] : []),
         ];
         const limit = metadataStore.MaximumTransactionEntries - 1;
-        // The head goes first: a kill in between leaves pieces that no record names, never a record without pieces.
+        // The head is removed first: an interruption leaves unreferenced records, but never a head whose records are missing.
         for (let start = 0; start < keys.length; start += limit) {
             const preconditions = start === 0 ? [{ key: headKey, revision: stored.revision }] : [];
             const deletes = keys.slice(start, start + limit);
@@ -151,7 +151,7 @@
             }
             const decoded = result.value?.value === undefined ? undefined : tryDecode(result.value.value);
             if (decoded === undefined) {
-                const text = `${key} can't be read`;
+                const text = `${key} is missing or can't be decoded`;
                 return { ok: false, failure: { kind: metadataStore.StoreFailureKind.Unknown, text } };
             }
             values.push(...decoded);
--- a/packages/gateway/src/submissionTakeover.ts
+++ b/packages/gateway/src/submissionTakeover.ts
@@ -7,37 +7,38 @@
 import * as submissionRegistry from "./submissionRegistry.js";
 import * as submissionStore from "./submissionStore.js";
 
-/** Heads are looked through this often for submissions that nobody runs. */
+/** Interval of the regular scan of the heads for submissions without an owner. */
 const ScanIntervalMilliseconds = 5_000;
-/** A member that vanished may only have been forgotten in an outage; it registers again within this time. */
+/** A removed member may only have lost its registration in an outage. It registers again within this time. */
 const TakeoverDelayMilliseconds = 1_600;
-/** One that vanished because a new life of its instance removed it is gone for sure. */
+/** Used instead if a new incarnation of the same instance has removed the member, which then certainly doesn't return. */
 const ReplacedDelayMilliseconds = 100;
-const HandOverLookMilliseconds = 150;
-/** Kept beyond the retention, since callers count from their own clocks. */
+/** Interval at which submissions are handed over during shutdown. */
+const HandOverIntervalMilliseconds = 150;
+/** Added to the retention period, since callers measure it with their own clocks. */
 const RetentionSlackMilliseconds = 30_000;
 /**
- * Members that look through the heads when another is gone. With every member looking, each restart in a fleet of hundreds
- * would be hundreds of whole listings.
+ * Number of members that scan the heads when a member is removed. If all members scanned, each restart in a fleet of hundreds
+ * would cause hundreds of complete listings.
  */
-const LookerCount = 3;
-/** Each looks this much after the one before, which may be gone or turned away by the store; mostly it finds nothing left. */
-const NextLookMilliseconds = 700;
-/** Ranks the members: all work the same lookers out. */
-const LookerKey = "takeover";
-
-/** Which submissions without an owner a look through the heads is for. */
-enum LookScope {
-    /** Those whose heir is this member. */
+const ScannerCount = 3;
+/** Delay of each scanner after the previous one, which may be down or rejected by the store. Usually nothing is left for it. */
+const NextScannerDelayMilliseconds = 700;
+/** Hash key by which all members choose the same scanners. */
+const ScannerKey = "takeover";
+
+/** Which submissions without an owner a scan handles. */
+enum ScanScope {
+    /** Those whose successor is this member. */
     Own = "Own",
-    /** All; those of others are passed on to their heirs. */
+    /** All. Those with another successor are delegated to it. */
     All = "All",
 }
 
-/** Sees to it that each submission has one member that runs it: takes over from those that are gone, hands over at a stop. */
+/** Ensures that each submission has an owner: takes over submissions of removed members, and hands over its own at shutdown. */
 export class SubmissionTakeover implements AsyncDisposable {
-    private readonly adopting = new Map<string, Promise<void>>();
-    private readonly stopper = new AbortController();
+    private readonly takeovers = new Map<string, Promise<void>>();
+    private readonly stopController = new AbortController();
     private readonly parts: submissionRegistry.SubmissionServiceParts;
 
     constructor(private readonly registry: submissionRegistry.SubmissionRegistry) {
@@ -45,133 +46,139 @@
         this.parts.network.handle(protocol.MessageKind.SubmissionHandover, async message =>
             this.serveHandover(message),
         );
-        this.parts.members.onChange(gone => this.onMembersGone(gone));
+        this.parts.members.onChange(removed => this.onMembersRemoved(removed));
     }
 
-    /** The task that finds submissions without an owner, and removes those whose retention is over. */
+    /** Regularly takes over submissions without an owner, and removes those whose retention period has ended. */
     async run(): Promise<void> {
-        while (!this.stopper.signal.aborted) {
-            await this.parts.clock.sleep(ScanIntervalMilliseconds, this.stopper.signal);
-            await this.scan(LookScope.Own);
+        while (!this.stopController.signal.aborted) {
+            await this.parts.clock.sleep(ScanIntervalMilliseconds, this.stopController.signal);
+            await this.scan(ScanScope.Own);
         }
     }
 
     /**
-     * Has the others take over all that this member owns, until the stop is over: callers and peers still send while the
-     * balancer does, and a submission that is only dropped waits for the end of this member's lease.
+     * Hands over all owned submissions to peers until this object is disposed. New submissions can arrive as long as the load
+     * balancer sends requests, and a submission that is not handed over is taken over only when this member's lease expires.
      */
     async handOver(): Promise<void> {
-        this.registry.isLeaving = true;
-        while (!this.stopper.signal.aborted) {
-            const own = this.registry.getAllOwned().filter(submission => submission.isActive());
-            await Promise.all(own.map(submission => this.handOverOne(submission)));
-            await this.parts.clock.sleep(HandOverLookMilliseconds, this.stopper.signal);
+        this.registry.isShuttingDown = true;
+        while (!this.stopController.signal.aborted) {
+            const owned = this.registry.getAllOwned().filter(submission => submission.isActive());
+            await Promise.all(owned.map(submission => this.handOverSubmission(submission)));
+            await this.parts.clock.sleep(HandOverIntervalMilliseconds, this.stopController.signal);
         }
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
-        this.stopper.abort();
+        this.stopController.abort();
     }
 
-    private onMembersGone(gone: readonly core.InstanceId[]): void {
-        if (gone.length === 0) {
+    private onMembersRemoved(removed: readonly core.InstanceId[]): void {
+        if (removed.length === 0) {
             return;
         }
-        this.registry.forgetOwners(gone);
-        const isReplaced = gone.every(id => this.parts.members.hasOtherLife(id));
-        void this.lookForOrphans(isReplaced ? ReplacedDelayMilliseconds : TakeoverDelayMilliseconds);
+        this.registry.forgetOwners(removed);
+        const isReplaced = removed.every(id => this.parts.members.hasOtherLife(id));
+        void this.scanForOrphans(isReplaced ? ReplacedDelayMilliseconds : TakeoverDelayMilliseconds);
     }
 
-    private async lookForOrphans(delay: number): Promise<void> {
-        await this.parts.clock.sleep(delay, this.stopper.signal);
+    /** After a delay, scans for submissions without an owner if this member is one of the scanners. */
+    private async scanForOrphans(delay: number): Promise<void> {
+        await this.parts.clock.sleep(delay, this.stopController.signal);
         const members = this.parts.members.getMembers().map(member => member.id);
-        const rank = decisions.chooseSubset(LookerKey, members, LookerCount).indexOf(this.parts.members.self.id);
+        const rank = decisions.chooseSubset(ScannerKey, members, ScannerCount).indexOf(this.parts.members.self.id);
         if (rank < 0) {
             return;
         }
-        await this.parts.clock.sleep(rank * NextLookMilliseconds, this.stopper.signal);
-        await this.scan(LookScope.All);
+        await this.parts.clock.sleep(rank * NextScannerDelayMilliseconds, this.stopController.signal);
+        await this.scan(ScanScope.All);
     }
 
-    private async scan(scope: LookScope): Promise<void> {
-        if (this.registry.isLeaving || !this.parts.members.isListed() || this.stopper.signal.aborted) {
+    private async scan(scope: ScanScope): Promise<void> {
+        if (this.registry.isShuttingDown || !this.parts.members.isListed() || this.stopController.signal.aborted) {
             return;
         }
-        const listed = await this.parts.submissions.listHeads(scope === LookScope.Own);
+        const listed = await this.parts.submissions.listHeads(scope === ScanScope.Own);
         if (!listed.ok) {
             return;
         }
-        const passedOn: Promise<void>[] = [];
+        const delegations: Promise<void>[] = [];
         for (const [id, stored] of listed.value) {
-            await this.tend(id, stored);
-            const heir = scope === LookScope.All ? this.tryGetOtherHeir(id, stored.head) : undefined;
-            if (heir !== undefined) {
-                passedOn.push(this.passOn(id, heir));
+            await this.reconcile(id, stored);
+            const successor = scope === ScanScope.All ? this.tryGetOtherSuccessor(id, stored.head) : undefined;
+            if (successor !== undefined) {
+                delegations.push(this.delegate(id, successor));
             }
         }
-        await Promise.all(passedOn);
+        await Promise.all(delegations);
     }
 
-    /** The other member that is to run a submission which nobody runs; undefined where there is none to run. */
-    private tryGetOtherHeir(id: string, head: records.SubmissionHead): core.InstanceId | undefined {
+    /**
+     * Returns the other member that should take over a submission. Undefined if it has an owner, if nothing is left to run, or if
+     * this member is the successor.
+     */
+    private tryGetOtherSuccessor(id: string, head: records.SubmissionHead): core.InstanceId | undefined {
         const { members } = this.parts;
         const isOver = head.isEnded || head.listed >= head.itemCount;
         if (isOver || members.tryGet(head.owner) !== undefined) {
             return undefined;
         }
-        const heir = members.chooseHeir(id);
-        return heir === members.self.id ? undefined : heir;
+        const successor = members.chooseHeir(id);
+        return successor === members.self.id ? undefined : successor;
     }
 
-    private async passOn(id: string, heir: core.InstanceId): Promise<void> {
-        const isKept = await this.handOverTo(heir, id, []);
-        if (!isKept && !this.stopper.signal.aborted) {
-            await this.adopt(id);
+    /** Asks the successor to take over a submission. If it doesn't, this member does. */
+    private async delegate(id: string, successor: core.InstanceId): Promise<void> {
+        const isTakenOver = await this.handOverTo(successor, id, []);
+        if (!isTakenOver && !this.stopController.signal.aborted) {
+            await this.takeOver(id);
         }
     }
 
-    private async tend(id: string, stored: submissionStore.StoredHead): Promise<void> {
+    /** Compares a listed head with this member's state, and gives up, removes or takes over the submission if necessary. */
+    private async reconcile(id: string, stored: submissionStore.StoredHead): Promise<void> {
         const { members, clock } = this.parts;
         const { head } = stored;
         const own = this.registry.tryGetOwned(id);
-        // The listing may be from before this member's last write: a head that is older says nothing against it.
+        // The listing may be older than this member's last write.
         if (own !== undefined && own.getStored().revision > stored.revision) {
             return;
         }
-        const isOurs = own !== undefined;
+        const isOwned = own !== undefined;
         const isOver = head.isEnded || head.listed >= head.itemCount;
         const isOwnerLive = members.tryGet(head.owner) !== undefined;
-        if (isOurs && head.owner !== members.self.id) {
-            own.lose(`${head.owner} runs it`);
+        if (isOwned && head.owner !== members.self.id) {
+            own.giveUpOwnership(`${head.owner} owns it`);
             return;
         }
         const isExpired =
             clock.wallNow() - head.acceptedAt > this.parts.retentionMilliseconds + RetentionSlackMilliseconds;
-        if (isOver && isExpired && (isOurs || (!isOwnerLive && members.chooseHeir(id) === members.self.id))) {
-            own?.lose("its retention is over");
+        if (isOver && isExpired && (isOwned || (!isOwnerLive && members.chooseHeir(id) === members.self.id))) {
+            own?.giveUpOwnership("its retention period has ended");
             await this.parts.submissions.remove(id, stored);
             return;
         }
-        // One whose write was answered too late for its caller stands under this member's name without being run.
-        const isForgotten = head.owner === members.self.id && !isOurs;
+        // If the store applied the first write after the deadline, the head names this member as owner, but nothing runs.
+        const isUnstarted = head.owner === members.self.id && !isOwned;
         const isOrphan = !isOwnerLive && members.chooseHeir(id) === members.self.id;
-        if (!isOver && (isForgotten || isOrphan)) {
-            await this.adopt(id);
+        if (!isOver && (isUnstarted || isOrphan)) {
+            await this.takeOver(id);
         }
     }
 
-    /** Takes a submission over: from now on the former owner's writes fail. */
-    private async adopt(id: string, progress: readonly records.ItemProgress[] = []): Promise<void> {
-        const known = this.adopting.get(id);
+    /** Takes over a submission. Writes of the previous owner fail from then on. */
+    private async takeOver(id: string, progress: readonly records.ItemProgress[] = []): Promise<void> {
+        const known = this.takeovers.get(id);
         if (known !== undefined || this.registry.tryGetOwned(id) !== undefined) {
             return known;
         }
-        const task = this.adoptOnce(id, progress).finally(() => this.adopting.delete(id));
-        this.adopting.set(id, task);
+        const task = this.takeOverOnce(id, progress).finally(() => this.takeovers.delete(id));
+        this.takeovers.set(id, task);
         return task;
     }
 
-    private async adoptOnce(id: string, progress: readonly records.ItemProgress[]): Promise<void> {
+    private async takeOverOnce(id: string, progress: readonly records.ItemProgress[]): Promise<void> {
         const { submissions, members } = this.parts;
         const found = await submissions.readHead(id);
         if (!found.ok || found.value === undefined || found.value.head.isEnded) {
@@ -183,12 +190,12 @@
             head.listed === 0
                 ? { ok: true as const, value: { results: [] } }
                 : await submissions.readResults(id, head, 0);
-        const kept = await submissions.readProgress(id, head);
-        if (!items.ok || !results.ok || !kept.ok) {
+        const checkpoint = await submissions.readProgress(id, head);
+        if (!items.ok || !results.ok || !checkpoint.ok) {
             return;
         }
-        const mine = { ...head, owner: members.self.id, nonce: ownedSubmission.createNonce() };
-        const outcome = await submissions.write({ submission: id, head: mine, expected: revision, puts: [] });
+        const newHead = { ...head, owner: members.self.id, nonce: ownedSubmission.createNonce() };
+        const outcome = await submissions.write({ submission: id, head: newHead, expected: revision, puts: [] });
         if (outcome.kind !== submissionStore.WriteOutcomeKind.Written) {
             return;
         }
@@ -198,47 +205,53 @@
             listed: head.listed,
             items: head.itemCount,
         });
-        // What the former owner handed over is newer than what it last kept in the store.
-        const known = [...progress, ...kept.value];
-        this.registry.own(id, { head: mine, revision: outcome.revision }, items.value, results.value.results, known);
+        // Progress that the previous owner handed over is newer than its last checkpoint.
+        const known = [...progress, ...checkpoint.value];
+        this.registry.startOwning(
+            id,
+            { head: newHead, revision: outcome.revision },
+            items.value,
+            results.value.results,
+            known,
+        );
     }
 
-    private async handOverOne(submission: ownedSubmission.OwnedSubmission): Promise<void> {
+    private async handOverSubmission(submission: ownedSubmission.OwnedSubmission): Promise<void> {
         this.parts.scheduler.remove(submission);
         await submission.flush();
         if (submission.isComplete()) {
-            this.registry.release(submission);
+            this.registry.remove(submission);
             return;
         }
-        const heir = this.registry.chooseStayingPeer();
-        if (heir === undefined || !submission.isActive()) {
+        const successor = this.registry.chooseActivePeer();
+        if (successor === undefined || !submission.isActive()) {
             return;
         }
-        if (await this.handOverTo(heir, submission.getId(), submission.getProgress())) {
-            submission.lose(`${heir} took it over`);
-            this.registry.setOwner(submission.getId(), heir);
+        if (await this.handOverTo(successor, submission.getId(), submission.getProgress())) {
+            submission.giveUpOwnership(`${successor} has taken it over`);
+            this.registry.setOwner(submission.getId(), successor);
         }
     }
 
-    /** Has another member take a submission over; returns whether it runs it now. */
+    /** Asks a member to take over a submission. Returns whether it has done so. */
     private async handOverTo(
-        heir: core.InstanceId,
+        successor: core.InstanceId,
         submission: string,
         progress: readonly records.ItemProgress[],
     ): Promise<boolean> {
         const message = { kind: protocol.MessageKind.SubmissionHandover, submission, progress } as const;
-        const reply = await this.parts.network.request(heir, message, {
+        const reply = await this.parts.network.request(successor, message, {
             lane: protocol.Lane.Bulk,
-            timeoutMilliseconds: submissionRegistry.ForwardMilliseconds,
+            timeoutMilliseconds: submissionRegistry.HandoverTimeoutMilliseconds,
         });
         return reply.ok && reply.message.kind === protocol.MessageKind.SubmissionKept;
     }
 
     private async serveHandover(message: protocol.SubmissionHandover): Promise<protocol.Message> {
-        if (this.registry.isLeaving) {
+        if (this.registry.isShuttingDown) {
             return { kind: protocol.MessageKind.Refused, text: "this member leaves too" };
         }
-        await this.adopt(message.submission, message.progress);
+        await this.takeOver(message.submission, message.progress);
         return this.registry.tryGetOwned(message.submission) !== undefined
             ? { kind: protocol.MessageKind.SubmissionKept }
             : { kind: protocol.MessageKind.Refused, text: "not taken over" };
