--- a/packages/gateway/src/answerRelay.ts
+++ b/packages/gateway/src/answerRelay.ts
@@ -42,6 +42,7 @@
     firstByteAt: number | undefined;
 }
 
+/** Dependencies and callbacks of an `AnswerRelay`. */
 export interface RelayOptions {
     readonly wire: wire.CallerWire;
     readonly delivery: Delivery;
--- a/packages/gateway/src/crashWatch.ts
+++ b/packages/gateway/src/crashWatch.ts
@@ -9,13 +9,13 @@
 export type Probe = (address: string) => Promise<boolean>;
 
 /** Crashed upstreams after which a request is quarantined: the platform allows one request to crash three. */
-const DeathsToQuarantine = 3;
+const CrashesToQuarantine = 3;
 /** A running upstream accepts a connection within a few milliseconds; the rest allows for a full connection queue. */
 const ProbeTimeoutMilliseconds = 300;
 
 /** Detects requests that crash upstreams. Members share their suspicions. */
 export class CrashWatch {
-    readonly suspects = new decisions.SuspectRegistry(DeathsToQuarantine);
+    readonly suspects = new decisions.SuspectRegistry(CrashesToQuarantine);
     private readonly probes = new Map<core.UpstreamId, Promise<void>>();
 
     constructor(
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Call when a connection breaks while a request runs, before reporting the end of the request to the registry. A broken
-     * connection alone doesn't prove a crash, since connections are also reset by the network. If the upstream refuses a new
-     * connection, it has crashed, and all requests that it ran become suspect. Resolves when the check is complete.
+     * Call when a connection breaks while a request runs, before reporting the end of the request to `suspects`. A broken
+     * connection alone doesn't prove a crash, since connections are also reset by the network. If no new connection can
+     * be established, the upstream has crashed, and all requests that it ran become suspect. Resolves when the check is complete.
      */
     async onBroken(upstream: types.UpstreamEntry): Promise<void> {
         let running = this.probes.get(upstream.id);
--- a/packages/gateway/src/ownedSubmission.ts
+++ b/packages/gateway/src/ownedSubmission.ts
@@ -29,6 +29,7 @@
     notBefore: core.MonotonicMilliseconds;
 }
 
+/** Initial state, dependencies and callbacks of an `OwnedSubmission`. */
 export interface OwnedSubmissionOptions {
     readonly id: string;
     readonly stored: submissionStore.StoredHead;
@@ -38,6 +39,7 @@
     readonly clock: core.Clock;
     /** Called when this member no longer owns the submission. */
     readonly onOwnershipLost: (reason: string) => void;
+    /** Called when results have been listed, with their total number and the number of calls to the store that this took. */
     readonly onListed: (count: number, calls: number) => void;
 }
 
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -42,6 +42,7 @@
     /** Identical for all attempts of the same request, including the caller's own retries. */
     readonly fingerprint: string;
     readonly delivery: answerRelay.Delivery;
+    /** Upstreams to which an attempt was made. */
     readonly tried: Set<core.UpstreamId>;
     /** Attempts that may have run at an upstream. */
     runs: number;
@@ -71,7 +72,7 @@
 /** Silence after which a resumable stream continues at another upstream. Engines send an event every 30 ms. */
 const StreamSilenceMilliseconds = 800;
 const GatewayTimeoutStatus = 504;
-/** If a stream had a free slot, no first event within this multiple of the latency target counts as an upstream failure. */
+/** A stream that had a free slot and has no event after this multiple of the latency target counts as an upstream failure. */
 const FirstEventOverdueFactor = 2;
 /** Estimated time that a request occupies a slot, until durations have been recorded. */
 const InitialServiceMilliseconds = 800;
@@ -191,7 +192,7 @@
                 progress,
                 types.RefusalReason.NoUpstream,
                 NoUpstreamRetryMilliseconds,
-                `of ${service ?? "no service"}`,
+                `service: ${service ?? "none"}`,
             );
             return undefined;
         }
@@ -308,6 +309,7 @@
         }
     }
 
+    /** Records a success or failure of the upstream, and avoids it for a time after repeated failures. */
     private recordResult(progress: Progress, upstream: types.UpstreamEntry, isFailure: boolean): void {
         const now = this.parts.clock.now();
         const watch = this.failureWatches.get(upstream.service) ?? new decisions.FailureWatch();
--- a/packages/gateway/src/submissionReader.ts
+++ b/packages/gateway/src/submissionReader.ts
@@ -14,6 +14,7 @@
 const MaximumPageBytes = 600_000;
 /** Timeout of a request to a peer. A round trip takes some milliseconds; the rest allows for a busy event loop. */
 const PeerTimeoutMilliseconds = 600;
+/** Bounds the memory for ids of ended submissions. */
 const MaximumEndMarkers = 10_000;
 
 /** Serves calls about any submission: at its owner if that is reachable, otherwise from the store. */
@@ -92,7 +93,7 @@
         return this.endInStore(submission);
     }
 
-    /** Applies changes of the end markers. They reach an owner that the member that received the caller's request can't reach. */
+    /** Applies changes of the end markers, through which a member ends a submission whose owner it can't reach directly. */
     applyEndMarkers(entries: readonly types.StoreEntry[]): void {
         for (const entry of entries) {
             if (!entry.key.startsWith(memberDirectory.EndedPrefix) || entry.value === undefined) {
--- a/packages/gateway/src/submissionService.ts
+++ b/packages/gateway/src/submissionService.ts
@@ -112,7 +112,7 @@
         return this.callWithScopedId(submission, id => this.reader.end(id));
     }
 
-    /** Applies changes of the end markers, which report to owners that another member has ended their submissions. */
+    /** Applies changes of the end markers, through which a member ends a submission whose owner it can't reach directly. */
     applyEndedMarks(entries: readonly types.StoreEntry[]): void {
         this.reader.applyEndMarkers(entries);
     }
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -24,6 +24,7 @@
     readonly weight: number;
 }
 
+/** A route: the requests that it matches, the services that answer them, and its limits. */
 export interface Route {
     readonly name: string;
     readonly host: string;
@@ -54,6 +55,7 @@
     readonly healthPath: string;
     /** Number of connections that one upstream accepts, summed over all gateway instances. */
     readonly connectionLimit: number;
+    /** Whether the upstreams are inference engines, whose slots the instances share. */
     readonly isEngine: boolean;
 }
 
@@ -181,6 +183,7 @@
     OutcomeUnknown = "OutcomeUnknown",
 }
 
+/** A refusal that the gateway sends instead of an upstream's answer. */
 export interface GatewayRefusal {
     readonly reason: RefusalReason;
     /** Time after which the caller may usefully retry. */
@@ -198,12 +201,14 @@
     readonly tokens: number;
 }
 
+/** Final state of a batch item. */
 export enum ResultState {
     Completed = "Completed",
     /** The item can't be completed, has expired, or its submission's route no longer exists. */
     GivenUp = "GivenUp",
 }
 
+/** Result of a batch item. */
 export interface BatchResult {
     readonly id: string;
     readonly state: ResultState;
