--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -114,7 +114,7 @@
         const onClose = (): void => {
             if (!response.writableFinished) {
                 progress.isCallerDisconnected = true;
-                progress.relay?.stop(answerRelay.AttemptOutcomeKind.Stopped, "the caller disconnected");
+                progress.relay?.stop(answerRelay.AttemptOutcomeKind.Stopped, "the caller left");
             }
         };
         response.once("close", onClose);
@@ -156,7 +156,7 @@
             this.parts.slots.giveBack(id);
         }
         if (progress.isCallerDisconnected) {
-            this.parts.log.finished(progress.request, "the caller disconnected", id, progress);
+            this.parts.log.finished(progress.request, "the caller left", id, progress);
             return;
         }
         this.refuse(progress, getTimeoutReason(progress), undefined, id);
@@ -372,7 +372,7 @@
         const { request, delivery } = progress;
         const kinds = answerRelay.AttemptOutcomeKind;
         if (progress.isCallerDisconnected) {
-            this.parts.log.finished(request, "the caller disconnected", upstream.id, progress);
+            this.parts.log.finished(request, "the caller left", upstream.id, progress);
             return true;
         }
         if (progress.isTimedOut && outcome.kind !== kinds.Delivered) {
