--- a/packages/decisions/src/admissionQueue.ts
+++ b/packages/decisions/src/admissionQueue.ts
@@ -2,24 +2,27 @@
 import * as priorityQueue from "./priorityQueue.js";
 import * as serviceTime from "./serviceTime.js";
 
-/** A request that asks to run. */
+/** A request that asks for admission. */
 export interface AdmissionItem<T> {
     readonly value: T;
     readonly caller: core.CallerId;
-    /** Relative share of the caller, over 0. */
+    /** Relative share of the caller; greater than 0. */
     readonly weight: number;
-    /** Expected work in any unit that is the same for all items, such as 1 a request or tokens; over 0. */
+    /**
+     * Expected work, in any unit that is the same for all items, such as 1 per request or a number of tokens; greater
+     * than 0.
+     */
     readonly cost: number;
-    /** When the answer must be there. */
+    /** When the answer is due. */
     readonly deadlineAt: core.MonotonicMilliseconds;
 }
 
 export enum AdmissionKind {
-    /** Runs now; tell its end by `complete`. */
+    /** Runs now; report its end with `complete`. */
     Admitted = "Admitted",
-    /** Waits; comes back from `take`, or from `expire` once it can't be served in time. */
+    /** Waits; is returned by `take`, or by `expire` once it can't be served in time. */
     Queued = "Queued",
-    /** Can't be served in time: answer now. */
+    /** Can't be served in time; answer it now. */
     Refused = "Refused",
 }
 
@@ -36,31 +39,33 @@
 }
 
 export interface AdmissionSettings {
-    /** Requests that may run at once; changes by `setLimit`. */
+    /** Requests that may run at once; can be changed with `setLimit`. */
     readonly limit: number;
-    /** Time that one unit of cost takes, as long as nothing has been learned. */
+    /** Time per unit of cost, used until service times have been observed. */
     readonly expectedMillisecondsPerCost: number;
-    /** The usual cost; 1 where it isn't given. */
+    /** Typical cost of a request; 1 by default. */
     readonly expectedCost?: number;
-    /** From 0 up to 1; spreads the times to come back, so that refused callers don't all return together. */
+    /**
+     * Returns a number from 0 up to 1; adds jitter to retry times, so that refused callers don't all return together.
+     */
     readonly random: () => number;
 }
 
-/** Part of the time left that a request may spend waiting; the rest is for being served and for one retry. */
-const WaitShare = 0.5;
-/** Shortest time to come back; a caller that retries faster only adds load. */
-const MinimumRetryAfter = 100;
+/** Fraction of the remaining time that a request may spend waiting; the rest is for being served and for one retry. */
+const MaximumWaitFraction = 0.5;
+/** Shortest time after which a caller may retry; retrying sooner only adds load. */
+const MinimumRetryAfterMilliseconds = 100;
 
-/** Requests looked at to find a preferred one, and times that one may be passed over. */
-const MostPassedOver = 16;
-const MostPasses = 32;
+/** How many requests are examined to find a preferred one, and how often a single request may be skipped. */
+const MaximumSkippedRequests = 16;
+const MaximumSkipsPerRequest = 32;
 
 interface Entry<T> {
     readonly item: AdmissionItem<T>;
     readonly startTag: number;
     isWaiting: boolean;
-    /** How often another one went before it although it was its turn. */
-    passes: number;
+    /** How often another request was taken although it was this one's turn. */
+    skipCount: number;
 }
 
 interface CallerState<T> {
@@ -71,15 +76,15 @@
 /**
  * Admits, queues or refuses the requests of one class for one model.
  *
- * Load: bursts and minutes of saturation, where one caller may send most of the requests.
- *
- * Harm prevented: a queue without a bound turns an overload into an outage, since each request is answered after its
- * caller has gone; a queue in order of arrival lets one caller's thousand requests stand before everybody's one. So
- * callers share by start-time fair queueing (weight, cost), and a request is refused on arrival when the wait that its
- * share gives would use more than half of its time. The bound is a wait and not a length, since a length that suits 20
- * token answers is a hundred times too long for 2,000 token ones.
+ * The queue has to handle bursts and minutes of saturation in which one caller may send most of the requests. An
+ * unbounded queue would turn an overload into an outage, because each request would be answered after its caller has
+ * left. A queue in order of arrival would put one caller's thousand requests before everybody else's single one.
+ * Callers therefore share by start-time fair queueing (by weight and cost), and a request is refused on arrival when
+ * the wait expected for its share would use more than half of its remaining time. The bound is a waiting time and not a
+ * queue length, because a length that suits answers of 20 tokens is a hundred times too long for answers of 2,000
+ * tokens.
  *
- * A class and a model have a queue of their own: nothing ever waits here behind the other class.
+ * Each class and model has its own queue, so that no request waits behind the other class.
  */
 export class AdmissionQueue<T> {
     private readonly callers = new Map<core.CallerId, CallerState<T>>();
@@ -100,7 +105,7 @@
         this.service = new serviceTime.ServiceTime(settings.expectedMillisecondsPerCost, settings.expectedCost ?? 1);
     }
 
-    /** Sets how many may run at once, as upstreams come, go and fill. */
+    /** Sets how many requests may run at once. Called when upstreams are added, removed or change their load. */
     setLimit(limit: number): void {
         this.limit = Math.max(0, limit);
     }
@@ -112,20 +117,25 @@
             return { kind: AdmissionKind.Admitted };
         }
         const waitMilliseconds = this.estimateWait(item);
-        const allowed = Math.min((item.deadlineAt - now) * WaitShare, this.getLatestStart(item) - now);
-        if (waitMilliseconds > allowed) {
-            return this.createRefusal(waitMilliseconds, Math.max(0, allowed));
+        const allowedMilliseconds = Math.min(
+            (item.deadlineAt - now) * MaximumWaitFraction,
+            this.getLatestStart(item) - now,
+        );
+        if (waitMilliseconds > allowedMilliseconds) {
+            return this.createRefusal(waitMilliseconds, Math.max(0, allowedMilliseconds));
         }
         this.enqueue(item);
         return { kind: AdmissionKind.Queued, waitMilliseconds };
     }
 
     /**
-     * The next request to run, or undefined when none waits or nothing is free. Tell its end by `complete`.
+     * Returns the next request to run, or undefined when none waits or the limit is reached. Report its end with
+     * `complete`.
      *
-     * `isPreferred` may pass over some requests for one that costs less now, such as one whose prefix is cached where
-     * a place is free: at saturation, sending each to any free place makes every engine read every prefix, which cost
-     * a third of the throughput. A request is passed over a bounded number of times, so that none starves.
+     * `isPreferred` allows skipping requests in favour of one that is cheaper to run now, such as one whose prefix is
+     * cached on an upstream with a free slot. At saturation, sending each request to any free slot makes every engine
+     * prefill every prefix, which reduces throughput by a third. Each request is skipped a bounded number of times, so
+     * that none starves.
      */
     take(now: core.MonotonicMilliseconds, isPreferred?: (value: T) => boolean): AdmissionItem<T> | undefined {
         if (this.running >= this.limit) {
@@ -144,7 +154,10 @@
         return entry.item;
     }
 
-    /** A request that was admitted or taken has ended after `serviceMilliseconds`; undefined teaches nothing. */
+    /**
+     * Records that an admitted or taken request has ended. `serviceMilliseconds` updates the service time estimate;
+     * undefined leaves it unchanged.
+     */
     complete(cost: number, serviceMilliseconds: number | undefined): void {
         this.running = Math.max(0, this.running - 1);
         if (serviceMilliseconds !== undefined && cost > 0) {
@@ -152,7 +165,9 @@
         }
     }
 
-    /** Requests that can no longer be served in time. They have not run; answer them at once. */
+    /**
+     * Removes and returns the requests that can no longer be served in time. They have not run; answer them at once.
+     */
     expire(now: core.MonotonicMilliseconds): readonly AdmissionItem<T>[] {
         for (let entry = this.byDeadline.peek(); entry !== undefined; entry = this.byDeadline.peek()) {
             if (entry.isWaiting && this.getLatestStart(entry.item) >= now) {
@@ -169,7 +184,7 @@
         return result;
     }
 
-    /** Takes a waiting request out because its caller has gone; false where it does not wait. */
+    /** Removes a waiting request whose caller has disconnected; returns false if it isn't waiting. */
     cancel(value: T, caller: core.CallerId): boolean {
         const entry = this.callers.get(caller)?.waiting.find(waiting => waiting.item.value === value);
         if (entry === undefined) {
@@ -179,9 +194,9 @@
         return true;
     }
 
-    /** When a refused or expired request should come back, in milliseconds. */
+    /** Time after which a refused or expired request should be retried, in milliseconds. */
     getRetryAfter(): number {
-        return this.spread(this.toWait(this.waitingCost / 2));
+        return this.addJitter(this.estimateMilliseconds(this.waitingCost / 2));
     }
 
     getWaitingCount(): number {
@@ -196,30 +211,34 @@
         now: core.MonotonicMilliseconds,
         isPreferred: ((value: T) => boolean) | undefined,
     ): Entry<T> | undefined {
-        const passed: Entry<T>[] = [];
+        const skipped: Entry<T>[] = [];
         let chosen: Entry<T> | undefined;
-        while (chosen === undefined && passed.length < MostPassedOver) {
+        while (chosen === undefined && skipped.length < MaximumSkippedRequests) {
             const entry = this.popWaiting(now);
             if (entry === undefined) {
                 break;
             }
-            const isChosen = isPreferred === undefined || entry.passes >= MostPasses || isPreferred(entry.item.value);
+            const isChosen =
+                isPreferred === undefined || entry.skipCount >= MaximumSkipsPerRequest || isPreferred(entry.item.value);
             if (isChosen) {
                 chosen = entry;
             }
             else {
-                passed.push(entry);
+                skipped.push(entry);
             }
         }
-        chosen ??= passed.shift();
-        for (const entry of passed) {
-            entry.passes++;
+        chosen ??= skipped.shift();
+        for (const entry of skipped) {
+            entry.skipCount++;
             this.byStartTag.push(entry, entry.startTag);
         }
         return chosen;
     }
 
-    /** The first that waits and can still be served in time; those that can't are put aside for `expire`. */
+    /**
+     * Removes and returns the first waiting request that can still be served in time. Those that can't are set aside
+     * for `expire`.
+     */
     private popWaiting(now: core.MonotonicMilliseconds): Entry<T> | undefined {
         for (let entry = this.byStartTag.pop(); entry !== undefined; entry = this.byStartTag.pop()) {
             if (entry.isWaiting && this.getLatestStart(entry.item) >= now) {
@@ -235,40 +254,40 @@
     }
 
     /**
-     * What would be before the item: all that waits, but of each other caller only what its share lets pass, and one
-     * request that is first in its caller's line already.
+     * Estimates the wait of a new item. Ahead of it are all waiting requests, but of each other caller only as much as
+     * that caller's share allows, plus the request at the head of each caller's queue.
      */
     private estimateWait(item: AdmissionItem<T>): number {
-        const passing = (this.getStartTag(item) - this.virtualTime) * (this.waitingWeight + item.weight);
-        const firstOnes = (this.waitingCallers * this.waitingCost) / Math.max(1, this.waitingCount);
-        return this.toWait(Math.min(this.waitingCost, passing + firstOnes) + item.cost);
+        const costWithinShares = (this.getStartTag(item) - this.virtualTime) * (this.waitingWeight + item.weight);
+        const costOfHeads = (this.waitingCallers * this.waitingCost) / Math.max(1, this.waitingCount);
+        return this.estimateMilliseconds(Math.min(this.waitingCost, costWithinShares + costOfHeads) + item.cost);
     }
 
-    private toWait(cost: number): number {
-        // What runs counts where the limit has just fallen: it ends, and its places come back.
-        return (cost * this.service.getPerCost()) / Math.max(1, this.limit, this.running);
+    private estimateMilliseconds(cost: number): number {
+        // Running requests count when the limit has just dropped below them: they finish and free their slots.
+        return (cost * this.service.getMillisecondsPerCost()) / Math.max(1, this.limit, this.running);
     }
 
-    /** Latest time to start and still answer in time, by what service usually takes. */
+    /** Latest time at which the item can start and still be answered in time, given the usual service times. */
     private getLatestStart(item: AdmissionItem<T>): core.MonotonicMilliseconds {
-        return item.deadlineAt - this.service.getHigh(item.cost);
+        return item.deadlineAt - this.service.getHighEstimate(item.cost);
     }
 
     private createRefusal(waitMilliseconds: number, allowedMilliseconds: number): AdmissionRefusal {
         return {
             kind: AdmissionKind.Refused,
             waitMilliseconds,
-            retryAfterMilliseconds: this.spread(waitMilliseconds - allowedMilliseconds),
+            retryAfterMilliseconds: this.addJitter(waitMilliseconds - allowedMilliseconds),
         };
     }
 
-    private spread(milliseconds: number): number {
-        return Math.round(Math.max(MinimumRetryAfter, milliseconds) * (1 + this.settings.random()));
+    private addJitter(milliseconds: number): number {
+        return Math.round(Math.max(MinimumRetryAfterMilliseconds, milliseconds) * (1 + this.settings.random()));
     }
 
     private enqueue(item: AdmissionItem<T>): void {
         const startTag = this.getStartTag(item);
-        const entry: Entry<T> = { item, startTag, isWaiting: true, passes: 0 };
+        const entry: Entry<T> = { item, startTag, isWaiting: true, skipCount: 0 };
         const state = this.getCallerState(item.caller);
         if (state.waiting.length === 0) {
             this.waitingWeight += item.weight;
@@ -293,12 +312,12 @@
             this.waitingCallers--;
         }
         if (this.waitingCount === 0) {
-            this.forgetAll();
+            this.reset();
         }
     }
 
-    /** An idle queue starts anew: old tags would hold a caller's past against it, and the maps would only grow. */
-    private forgetAll(): void {
+    /** Resets an idle queue. Otherwise old tags would penalize callers for past usage, and the maps would only grow. */
+    private reset(): void {
         this.callers.clear();
         this.byStartTag.filter(() => false);
         this.byDeadline.filter(() => false);
--- a/packages/decisions/src/batchGrants.ts
+++ b/packages/decisions/src/batchGrants.ts
@@ -1,51 +1,54 @@
 import type * as core from "@boragedale/core";
-import type * as slotBoard from "./slotBoard.js";
+import type * as slotTable from "./slotTable.js";
 
 /**
- * A grant counts as a place taken until the asker's own notice has come: its way to the asker, the start there, the delay
- * of the notice and the way back.
+ * How long a grant counts as an occupied slot unless the requester's own notification arrives first. Covers the way to
+ * the requester, the start there, the delay of the notification and the way back.
  */
-const GrantMilliseconds = 60;
+const GrantExpiryMilliseconds = 60;
 
 interface Grant {
-    readonly asker: core.InstanceId;
+    readonly requester: core.InstanceId;
     readonly until: core.MonotonicMilliseconds;
 }
 
 /**
- * Hands out the free places of the upstreams that this instance is home of to batch items.
+ * Grants free slots for batch items on the upstreams that this instance coordinates.
  *
- * Load: all instances have items waiting when an online burst ebbs, and see the same place come free at the same moment.
- * Harm prevented: each starts an item there, and the next online request waits behind seven of them. One instance an
- * upstream says who may; online requests never ask.
+ * When an online burst ends, all instances have items waiting and see the same slot become free at the same moment. If
+ * each of them started an item there, the next online request would wait behind seven of them. So for each upstream one
+ * instance decides who may start; online requests don't need a grant.
  */
 export class BatchGrants {
     private readonly grants = new Map<core.UpstreamId, Grant[]>();
 
-    /** Whether an item may start, with `reserve` places kept free for online work. */
+    /** Grants a slot for an item if `reserve` slots stay free for online work; returns whether it was granted. */
     tryGrant(
-        asker: core.InstanceId,
+        requester: core.InstanceId,
         upstream: core.UpstreamId,
-        total: slotBoard.SlotUse,
+        total: slotTable.SlotUse,
         slots: number,
         reserve: number,
         now: core.MonotonicMilliseconds,
     ): boolean {
-        const open = (this.grants.get(upstream) ?? []).filter(grant => grant.until > now);
-        const isRoom = total.online + total.batch + open.length < slots - reserve;
-        if (isRoom) {
-            open.push({ asker, until: now + GrantMilliseconds });
+        const pending = (this.grants.get(upstream) ?? []).filter(grant => grant.until > now);
+        const hasFreeSlot = total.online + total.batch + pending.length < slots - reserve;
+        if (hasFreeSlot) {
+            pending.push({ requester: requester, until: now + GrantExpiryMilliseconds });
         }
-        this.grants.set(upstream, open);
-        return isRoom;
+        this.grants.set(upstream, pending);
+        return hasFreeSlot;
     }
 
-    /** The asker's own notice of the upstream came: its oldest grant is in the board from now on. */
-    settle(asker: core.InstanceId, upstream: core.UpstreamId): void {
-        const open = this.grants.get(upstream);
-        const index = open?.findIndex(grant => grant.asker === asker) ?? -1;
+    /**
+     * Removes the requester's oldest grant for the upstream: its own notification has arrived, so that the slot table
+     * includes the item from now on.
+     */
+    settle(requester: core.InstanceId, upstream: core.UpstreamId): void {
+        const pending = this.grants.get(upstream);
+        const index = pending?.findIndex(grant => grant.requester === requester) ?? -1;
         if (index >= 0) {
-            open?.splice(index, 1);
+            pending?.splice(index, 1);
         }
     }
 }
--- a/packages/decisions/src/batchOrder.ts
+++ b/packages/decisions/src/batchOrder.ts
@@ -1,39 +1,39 @@
 import type * as core from "@boragedale/core";
 
-/** One item that waits for a place. */
+/** An item that waits for a slot. */
 export interface BatchOrderItem {
     readonly id: string;
     readonly caller: core.CallerId;
     readonly weight: number;
-    /** Expected work, such as tokens to read and to generate; corrected by `settle`. */
+    /** Expected work, such as the number of tokens to prefill and to generate; corrected by `correctCost`. */
     readonly cost: number;
     readonly deadlineAt: core.MonotonicMilliseconds;
-    /** True for an item that gave way with tokens kept: its place in the order is before the caller's new ones. */
+    /** True for an item that yielded its slot and kept its tokens: it is ordered before the caller's new items. */
     readonly isResumed?: boolean;
 }
 
 interface CallerQueue {
     /** Ordered by deadline. */
     readonly items: BatchOrderItem[];
-    /** Work had, over weight. */
-    served: number;
+    /** Work received, divided by weight. */
+    servedWork: number;
 }
 
 export interface BatchOrderSettings {
-    /** An item is urgent this long before its deadline, in milliseconds. */
+    /** An item is urgent from this long before its deadline, in milliseconds. */
     readonly urgentMilliseconds: number;
-    /** Work, over weight, by which urgent items may put a caller ahead of its share. */
+    /** Work, divided by weight, by which urgent items may put a caller ahead of its share. */
     readonly urgentLead: number;
 }
 
 /**
- * Which batch item runs next.
+ * Decides which batch item runs next.
  *
- * Load: jobs of up to hundreds of thousands of items beside jobs of one class, items of 20 tokens beside 2,000. Harm
- * prevented: by deadline alone a caller that sets early deadlines starves the rest; by turns alone a caller with long
- * items gets a hundred times the work. So callers share by work had over weight; within a caller the earliest deadline
- * goes first; an item that would otherwise be late goes before, as far as a bounded lead allows, so that a job that
- * can't be done in time anyway costs the others little.
+ * Jobs with hundreds of thousands of items compete with jobs the size of a school class, and items of 20 tokens with
+ * items of 2,000. Ordering by deadline alone would let a caller with early deadlines starve the others; taking turns
+ * would give a caller with long items a hundred times the work. Callers therefore share by work received divided by
+ * weight. Within a caller the earliest deadline goes first. An item that would otherwise be late goes before others,
+ * but only within a bounded lead, so that a job that can't be finished in time anyway costs the others little.
  */
 export class BatchOrder {
     private readonly callers = new Map<core.CallerId, CallerQueue>();
@@ -45,42 +45,42 @@
     add(item: BatchOrderItem): void {
         let queue = this.callers.get(item.caller);
         if (queue === undefined) {
-            queue = { items: [], served: this.virtualTime };
+            queue = { items: [], servedWork: this.virtualTime };
             this.callers.set(item.caller, queue);
         }
         if (queue.items.length === 0) {
-            // Idle time earns nothing: a caller that comes back doesn't take the fleet until it has caught up.
-            queue.served = Math.max(queue.served, this.virtualTime);
+            // Idle time earns no credit: a caller that returns must not occupy the whole fleet until it has caught up.
+            queue.servedWork = Math.max(queue.servedWork, this.virtualTime);
         }
         queue.items.splice(findPosition(queue.items, item), 0, item);
         this.length++;
     }
 
-    /** The item to run next, taken out; undefined when none waits. */
+    /** Removes and returns the item to run next; undefined when none waits. */
     take(now: core.MonotonicMilliseconds): BatchOrderItem | undefined {
         const fair = this.tryGetFairCaller();
         if (fair === undefined) {
             return undefined;
         }
-        this.virtualTime = Math.max(this.virtualTime, fair.served);
+        this.virtualTime = Math.max(this.virtualTime, fair.servedWork);
         const queue = this.tryGetUrgentCaller(now) ?? fair;
         const item = queue.items.shift();
         if (item !== undefined) {
             this.length--;
-            queue.served += item.cost / item.weight;
+            queue.servedWork += item.cost / item.weight;
         }
         return item;
     }
 
-    /** An item ended with another cost than was expected. */
+    /** Corrects the work of an item that ended with a different cost than expected. */
     settle(caller: core.CallerId, weight: number, expectedCost: number, actualCost: number): void {
         const queue = this.callers.get(caller);
         if (queue !== undefined) {
-            queue.served += (actualCost - expectedCost) / weight;
+            queue.servedWork += (actualCost - expectedCost) / weight;
         }
     }
 
-    /** Takes items out, such as those of a cancelled job; returns how many. */
+    /** Removes items, such as those of a cancelled job, and returns their number. */
     remove(isUnwanted: (item: BatchOrderItem) => boolean): number {
         let removed = 0;
         for (const queue of this.callers.values()) {
@@ -99,7 +99,7 @@
     private tryGetFairCaller(): CallerQueue | undefined {
         let best: CallerQueue | undefined;
         for (const queue of this.callers.values()) {
-            if (queue.items.length > 0 && (best === undefined || queue.served < best.served)) {
+            if (queue.items.length > 0 && (best === undefined || queue.servedWork < best.servedWork)) {
                 best = queue;
             }
         }
@@ -111,7 +111,7 @@
         let bestDeadline = now + this.settings.urgentMilliseconds;
         for (const queue of this.callers.values()) {
             const first = queue.items[0];
-            const isWithinLead = queue.served <= this.virtualTime + this.settings.urgentLead;
+            const isWithinLead = queue.servedWork <= this.virtualTime + this.settings.urgentLead;
             if (first !== undefined && isWithinLead && first.deadlineAt >= now && first.deadlineAt < bestDeadline) {
                 best = queue;
                 bestDeadline = first.deadlineAt;
@@ -121,7 +121,10 @@
     }
 }
 
-/** Resumed items first, since their tokens are paid for; then by deadline; equal ones in the order of arrival. */
+/**
+ * Resumed items come first, because their tokens are already paid for, then the earliest deadline; equal items keep the
+ * order of arrival.
+ */
 function findPosition(items: readonly BatchOrderItem[], item: BatchOrderItem): number {
     let low = 0;
     let high = items.length;
--- a/packages/decisions/src/breaker.ts
+++ b/packages/decisions/src/breaker.ts
@@ -1,34 +1,37 @@
 import type * as core from "@boragedale/core";
 
-/** Failures in a row that open the breaker: one or two happen to a healthy upstream, three in a row hardly. */
+/** Consecutive failures that open the breaker: one or two happen to a healthy upstream, three in a row hardly ever. */
 const FailuresToOpen = 3;
-/** First rest, in milliseconds; about what a connection reset or a short pause lasts. */
-const FirstRest = 500;
-/** Longest rest: an upstream that is back is used again within this time. */
-const LongestRest = 15_000;
+/** How long the breaker stays open at first: about as long as a connection reset or a short pause lasts. */
+const InitialOpenMilliseconds = 500;
+/** Longest time for which the breaker stays open: an upstream that has recovered is used again within this time. */
+const MaximumOpenMilliseconds = 15_000;
 
 /**
  * Keeps requests off an upstream that fails them.
  *
- * Load: an upstream that is dead, restarting or unreachable from here. Harm prevented: a dead upstream answers fastest
- * of all, so by load it looks idle and draws the traffic; each request then costs a retry. After the rest one request
- * at a time finds out; the rest doubles from failure to failure, and is spread, so that instances don't return together.
+ * An upstream may be dead, restarting or unreachable from this instance. A dead upstream fails fastest of all, so that
+ * it looks idle to load-based placement and attracts traffic, and each of these requests costs a retry. After the
+ * breaker has been open for some time, one request at a time probes the upstream. The time doubles with each failure
+ * and has jitter, so that the instances don't return together.
  */
 export class Breaker {
     private failures = 0;
-    private restMilliseconds = FirstRest;
+    private openMilliseconds = InitialOpenMilliseconds;
     private openUntil: core.MonotonicMilliseconds | undefined;
     private isProbing = false;
 
     constructor(private readonly random: () => number) {}
 
-    /** Whether a request may be sent now; while half open only one at a time. Doesn't take the place: see `onSent`. */
+    /**
+     * Whether a request may be sent now; while half open, only one at a time. Doesn't reserve the probe: see `onSent`.
+     */
     isAvailable(now: core.MonotonicMilliseconds): boolean {
         return this.openUntil === undefined || (now >= this.openUntil && !this.isProbing);
     }
 
     /** Milliseconds until a request may be tried; 0 while closed. */
-    getRemainingRest(now: core.MonotonicMilliseconds): number {
+    getRemainingOpenMilliseconds(now: core.MonotonicMilliseconds): number {
         return this.openUntil === undefined ? 0 : Math.max(0, this.openUntil - now);
     }
 
@@ -38,12 +41,12 @@
 
     onSuccess(): void {
         this.failures = 0;
-        this.restMilliseconds = FirstRest;
+        this.openMilliseconds = InitialOpenMilliseconds;
         this.openUntil = undefined;
         this.isProbing = false;
     }
 
-    /** The request ended without telling anything, such as by its caller's cancel. */
+    /** The request ended without saying anything about the upstream, for example because its caller cancelled it. */
     onAbandoned(): void {
         this.isProbing = false;
     }
@@ -56,12 +59,12 @@
             return;
         }
         if (wasOpen && now >= (this.openUntil ?? 0)) {
-            this.restMilliseconds = Math.min(LongestRest, this.restMilliseconds * 2);
+            this.openMilliseconds = Math.min(MaximumOpenMilliseconds, this.openMilliseconds * 2);
         }
-        this.openUntil = now + this.restMilliseconds * (1 + 0.25 * this.random());
+        this.openUntil = now + this.openMilliseconds * (1 + 0.25 * this.random());
     }
 
-    /** The upstream died for certain: no need for three failures. */
+    /** The upstream certainly died, which opens the breaker without waiting for three failures. */
     onDeath(now: core.MonotonicMilliseconds): void {
         this.failures = Math.max(this.failures, FailuresToOpen);
         this.onFailure(now);
--- a/packages/decisions/src/concurrencyLimit.ts
+++ b/packages/decisions/src/concurrencyLimit.ts
@@ -1,10 +1,10 @@
 import type * as core from "@boragedale/core";
 import * as estimates from "./estimates.js";
 
-/** What one call to a plain service told. */
+/** What the outcome of one call says about the load of a plain service. */
 export enum CallSignal {
     Success = "Success",
-    /** Overloaded by its own word (429 or 503), or timed out. */
+    /** Reported overload (429 or 503), or timed out. */
     Overload = "Overload",
     /** Failed or was cancelled for a reason that says nothing about load. */
     Neutral = "Neutral",
@@ -12,35 +12,38 @@
 
 export interface ConcurrencySettings {
     readonly initial: number;
-    /** Our limit from the release note; never exceeded. */
+    /** The limit from the release note; never exceeded. */
     readonly maximum: number;
 }
 
-/** Times the usual latency at which a service counts as queueing inside. */
+/** Ratio to the baseline latency above which a service is considered to be queueing calls internally. */
 const SlowFactor = 2.5;
-/** Calls before latencies are compared. */
-const SamplesToJudge = 20;
-/** Time in which the remembered usual latency doubles, in milliseconds: a new version may be slower for good. */
-const UsualDoubling = 600_000;
-/** What an overload leaves of the limit: low enough to drain a queue within a few calls, high enough to go on. */
-const Decrease = 0.8;
+/** Number of calls before latencies are compared. */
+const MinimumSamples = 20;
+/**
+ * Time in which the baseline latency doubles unless a lower one is observed: a new version may be slower permanently.
+ */
+const BaselineDoublingMilliseconds = 600_000;
+/** Factor applied to the limit at overload: low enough to drain a queue within a few calls, high enough to continue. */
+const DecreaseFactor = 0.8;
 
 /**
- * How many calls one server of a plain service gets at once from this instance.
+ * Limits how many calls this instance sends to one server of a plain service at once.
  *
- * Load: letter-short calls to servers that are not engines: they don't batch, and past a point each further call only
- * queues inside. Harm prevented: a slow service would hold ever more calls until each fails by timeout, and calls that
- * may not be repeated end with an unknown outcome. The limit rises by one a round of successes while it is in use, and
- * falls by a fifth at overload or at 2.5 times the usual latency, at most once a round, since the calls of one round
- * all saw the same queue. At least one call may always run, or the limit could never learn that the service is back.
+ * Servers that are not engines receive short calls and don't batch them: beyond a certain number, each further call
+ * only queues inside the server. A slow service would hold more and more calls until each of them times out, and calls
+ * that must not be repeated would end with an unknown outcome. The limit grows by one per round of successes while it
+ * is fully used. It falls by a fifth at overload or at 2.5 times the baseline latency, at most once per round, because
+ * the calls of one round all experienced the same queue. At least one call may always run; otherwise the limit could
+ * never detect that the service has recovered.
  */
 export class ConcurrencyLimit {
     private limit: number;
     private running = 0;
-    private lowered: core.MonotonicMilliseconds = -Infinity;
+    private loweredAt: core.MonotonicMilliseconds = -Infinity;
     private readonly recentLatency = new estimates.MovingAverage(0.05, 0);
-    private usualLatency = Infinity;
-    private usualAt: core.MonotonicMilliseconds = 0;
+    private baselineLatency = Infinity;
+    private baselineUpdatedAt: core.MonotonicMilliseconds = 0;
 
     constructor(private readonly settings: ConcurrencySettings) {
         this.limit = clamp(settings.initial, 1, settings.maximum);
@@ -61,7 +64,7 @@
             return;
         }
         if (signal === CallSignal.Success) {
-            this.learn(latencyMilliseconds, now);
+            this.updateBaseline(latencyMilliseconds, now);
         }
         if (signal === CallSignal.Overload || this.isSlow()) {
             this.lower(now);
@@ -82,26 +85,28 @@
 
     private isSlow(): boolean {
         return (
-            this.recentLatency.getCount() >= SamplesToJudge && this.recentLatency.get() > SlowFactor * this.usualLatency
+            this.recentLatency.getCount() >= MinimumSamples &&
+            this.recentLatency.get() > SlowFactor * this.baselineLatency
         );
     }
 
-    /** The usual latency is the lowest mean of late: a mean of all would follow a queue that builds up slowly. */
-    private learn(latencyMilliseconds: number, now: core.MonotonicMilliseconds): void {
+    /** The baseline is the lowest recent mean: a mean of all latencies would follow a queue that builds up slowly. */
+    private updateBaseline(latencyMilliseconds: number, now: core.MonotonicMilliseconds): void {
         this.recentLatency.add(latencyMilliseconds);
-        if (this.recentLatency.getCount() < SamplesToJudge) {
+        if (this.recentLatency.getCount() < MinimumSamples) {
             return;
         }
-        const forgotten = this.usualLatency * 2 ** (Math.max(0, now - this.usualAt) / UsualDoubling);
-        this.usualLatency = Math.min(forgotten, this.recentLatency.get());
-        this.usualAt = now;
+        const raisedBaseline =
+            this.baselineLatency * 2 ** (Math.max(0, now - this.baselineUpdatedAt) / BaselineDoublingMilliseconds);
+        this.baselineLatency = Math.min(raisedBaseline, this.recentLatency.get());
+        this.baselineUpdatedAt = now;
     }
 
     private lower(now: core.MonotonicMilliseconds): void {
-        const round = Math.max(10, this.recentLatency.get());
-        if (now - this.lowered >= round) {
-            this.lowered = now;
-            this.limit = clamp(this.limit * Decrease, 1, this.settings.maximum);
+        const roundMilliseconds = Math.max(10, this.recentLatency.get());
+        if (now - this.loweredAt >= roundMilliseconds) {
+            this.loweredAt = now;
+            this.limit = clamp(this.limit * DecreaseFactor, 1, this.settings.maximum);
         }
     }
 }
--- a/packages/decisions/src/estimates.ts
+++ b/packages/decisions/src/estimates.ts
@@ -1,11 +1,11 @@
 import type * as core from "@boragedale/core";
 
-/** Small estimators that the decisions share. All take the time from outside. */
+/** Small estimators shared by the decisions. The current time is passed in. */
 
-/** Something learned from samples. */
+/** A value estimated from samples. */
 export interface Estimate {
     get(): number;
-    /** Samples that it rests on. */
+    /** Number of samples that the estimate is based on. */
     getCount(): number;
 }
 
@@ -15,7 +15,10 @@
     private deviation = 0;
     private count = 0;
 
-    /** `smoothing` is the part that a new sample has, over 0 up to 1; `initial` counts until the first sample. */
+    /**
+     * `smoothing` is the weight of a new sample, greater than 0 and up to 1; `initial` is the mean until the first
+     * sample.
+     */
     constructor(
         private readonly smoothing: number,
         initial: number,
@@ -25,10 +28,11 @@
 
     add(sample: number): void {
         this.count++;
-        // The first samples count fully: an initial guess that is ten times off must not linger for minutes.
-        const part = Math.max(this.smoothing, 1 / this.count);
-        this.deviation += part * (Math.abs(sample - this.mean) - this.deviation);
-        this.mean += part * (sample - this.mean);
+        // The first samples have a higher weight: an initial value that is wrong by a factor of ten must not persist
+        // for minutes.
+        const weight = Math.max(this.smoothing, 1 / this.count);
+        this.deviation += weight * (Math.abs(sample - this.mean) - this.deviation);
+        this.mean += weight * (sample - this.mean);
         if (this.count === 1) {
             this.deviation = 0;
         }
@@ -38,7 +42,7 @@
         return this.mean;
     }
 
-    /** The mean and twice the mean deviation above it: about nineteen in twenty samples are lower. */
+    /** The mean plus twice the mean deviation: about nineteen in twenty samples are lower. */
     getHigh(): number {
         return this.mean + 2 * this.deviation;
     }
@@ -48,7 +52,7 @@
     }
 }
 
-/** A maximum that halves every `halfLifeMilliseconds`, so that a peak is remembered but not for ever. */
+/** A maximum that halves every `halfLifeMilliseconds`, so that a peak is remembered for a limited time. */
 export class DecayingMaximum {
     private value = 0;
     private updatedAt: core.MonotonicMilliseconds = 0;
@@ -66,8 +70,8 @@
 }
 
 /**
- * The lowest sample of each of the last seconds in which there were any. By seconds and not by samples, since an
- * engine's streams advance together: eight samples from eight streams tell of the same few steps.
+ * The lowest sample of each of the last seconds in which there were any. Samples are grouped by seconds because an
+ * engine's streams advance together: eight samples from eight streams describe the same few steps.
  */
 export class RecentMinimum implements Estimate {
     private readonly seconds: { readonly second: number; lowest: number }[] = [];
@@ -92,20 +96,20 @@
         return Math.min(...this.seconds.map(entry => entry.lowest));
     }
 
-    /** The lowest sample of this second and the one before; undefined without one. */
-    getFresh(now: core.MonotonicMilliseconds): number | undefined {
+    /** The lowest sample of the current and the previous second; undefined without one. */
+    getRecent(now: core.MonotonicMilliseconds): number | undefined {
         const second = Math.floor(now / 1_000);
-        const fresh = this.seconds.filter(entry => entry.second >= second - 1).map(entry => entry.lowest);
-        return fresh.length === 0 ? undefined : Math.min(...fresh);
+        const recent = this.seconds.filter(entry => entry.second >= second - 1).map(entry => entry.lowest);
+        return recent.length === 0 ? undefined : Math.min(...recent);
     }
 
-    /** Seconds with samples, as far as they are kept. */
+    /** Number of kept seconds with samples. */
     getCount(): number {
         return this.seconds.length;
     }
 }
 
-/** The middle value, or undefined without values. */
+/** The median (the lower one of two middle values), or undefined without values. */
 export function getMedian(values: readonly number[]): number | undefined {
     const sorted = [...values].sort((left, right) => left - right);
     return sorted[Math.floor((sorted.length - 1) / 2)];
@@ -117,7 +121,7 @@
 }
 
 /** The item with the lowest value, the first of equal ones; undefined without items. */
-export function getLeast<T>(items: readonly T[], getValue: (item: T) => number): T | undefined {
+export function getMinimumBy<T>(items: readonly T[], getValue: (item: T) => number): T | undefined {
     let least: T | undefined;
     let leastValue = Infinity;
     for (const item of items) {
--- a/packages/decisions/src/failureWatch.ts
+++ b/packages/decisions/src/failureWatch.ts
@@ -1,80 +1,83 @@
 import type * as core from "@boragedale/core";
 
-/** Last ends of requests that are looked at for each upstream, and failures among them that make it avoided. */
-const RecentEnds = 8;
+/**
+ * How many of the latest request outcomes are considered for each upstream, and how many failures among them cause it
+ * to be avoided.
+ */
+const RecentOutcomes = 8;
 const FailuresToAvoid = 2;
 /**
- * First and longest time for which an upstream is avoided, in milliseconds. A grey one fails for seconds; what it gets at each
- * return is two requests, so doubling keeps them to a handful.
+ * First and longest time for which an upstream is avoided. A partially failing upstream fails for seconds and receives
+ * two requests at each return, so that doubling the time limits them to a handful.
  */
-const FirstAvoidMilliseconds = 1_000;
-const LongestAvoidMilliseconds = 8_000;
+const InitialAvoidMilliseconds = 1_000;
+const MaximumAvoidMilliseconds = 8_000;
 /**
- * Largest share of a service's upstreams that are avoided at a time. When more seem to fail, the cause lies elsewhere (a bad
- * configuration, requests that fail everywhere), and avoiding them would only crowd the rest.
+ * Largest fraction of a service's upstreams that are avoided at a time. If more of them seem to fail, the cause is
+ * elsewhere (a wrong configuration, requests that fail everywhere), and avoiding them would only overload the others.
  */
-const MostAvoidedShare = 0.3;
+const MaximumAvoidedFraction = 0.3;
 
-interface EndRecord {
-    /** The last ends, oldest first; true: failed. */
-    readonly ends: boolean[];
+interface OutcomeRecord {
+    /** The latest outcomes, oldest first; true for a failure. */
+    readonly outcomes: boolean[];
     avoidedUntil: core.MonotonicMilliseconds;
     nextAvoidMilliseconds: number;
 }
 
 /**
- * Finds upstreams that fail part of their requests, by how requests end.
+ * Finds upstreams that fail some of their requests, by the outcomes of the requests.
  *
- * Load: ordinary traffic while one upstream answers with errors, breaks off or hangs, and its health probe says that it is well.
- * Harm prevented: an upstream that fails at once is always the one with the most free places, so that choosing by free places
- * sends it more than its share; most of these requests may not be sent again. Of 600 streams over eight engines, one of which
- * answered with errors for ten seconds, 400 failed without the watch and under a dozen with it (failureWatch.test.ts).
+ * An upstream may answer with errors, break off or hang while its health probe succeeds. An upstream that fails at once
+ * always has the most free slots, so that choosing by free slots sends it more than its share, and most of these
+ * requests may not be sent again. Of 600 streams over eight engines, one of which answers with errors for ten seconds,
+ * 400 fail without this class and fewer than twelve with it (failureWatch.test.ts).
  */
 export class FailureWatch {
-    private readonly records = new Map<core.UpstreamId, EndRecord>();
+    private readonly records = new Map<core.UpstreamId, OutcomeRecord>();
 
     /**
-     * Takes the end of a request. Returns until when the upstream is to be avoided, where this end makes it so; `known` is how many
-     * upstreams the service has.
+     * Records the outcome of a request. Returns the time until which the upstream is to be avoided if this outcome
+     * causes it to be avoided; `upstreamCount` is the number of upstreams of the service.
      */
     noteEnd(
         upstream: core.UpstreamId,
         isFailure: boolean,
-        known: number,
+        upstreamCount: number,
         now: core.MonotonicMilliseconds,
     ): core.MonotonicMilliseconds | undefined {
         const record = this.getRecord(upstream);
-        record.ends.push(isFailure);
-        if (record.ends.length > RecentEnds) {
-            record.ends.shift();
+        record.outcomes.push(isFailure);
+        if (record.outcomes.length > RecentOutcomes) {
+            record.outcomes.shift();
         }
-        if (record.ends.length === RecentEnds && !record.ends.includes(true)) {
-            record.nextAvoidMilliseconds = FirstAvoidMilliseconds;
+        if (record.outcomes.length === RecentOutcomes && !record.outcomes.includes(true)) {
+            record.nextAvoidMilliseconds = InitialAvoidMilliseconds;
         }
-        const failures = record.ends.filter(end => end).length;
+        const failures = record.outcomes.filter(end => end).length;
         if (
             !isFailure ||
             failures < FailuresToAvoid ||
             record.avoidedUntil > now ||
-            !this.mayAvoidOneMore(known, now)
+            !this.canAvoidAnother(upstreamCount, now)
         ) {
             return undefined;
         }
         record.avoidedUntil = now + record.nextAvoidMilliseconds;
-        record.nextAvoidMilliseconds = Math.min(LongestAvoidMilliseconds, record.nextAvoidMilliseconds * 2);
-        record.ends.length = 0;
+        record.nextAvoidMilliseconds = Math.min(MaximumAvoidMilliseconds, record.nextAvoidMilliseconds * 2);
+        record.outcomes.length = 0;
         return record.avoidedUntil;
     }
 
-    private mayAvoidOneMore(known: number, now: core.MonotonicMilliseconds): boolean {
+    private canAvoidAnother(upstreamCount: number, now: core.MonotonicMilliseconds): boolean {
         const avoided = [...this.records.values()].filter(record => record.avoidedUntil > now).length;
-        return avoided + 1 <= Math.max(1, known * MostAvoidedShare);
+        return avoided + 1 <= Math.max(1, upstreamCount * MaximumAvoidedFraction);
     }
 
-    private getRecord(upstream: core.UpstreamId): EndRecord {
+    private getRecord(upstream: core.UpstreamId): OutcomeRecord {
         let record = this.records.get(upstream);
         if (record === undefined) {
-            record = { ends: [], avoidedUntil: -Infinity, nextAvoidMilliseconds: FirstAvoidMilliseconds };
+            record = { outcomes: [], avoidedUntil: -Infinity, nextAvoidMilliseconds: InitialAvoidMilliseconds };
             this.records.set(upstream, record);
         }
         return record;
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,7 @@
-/** Pure policy: admit, queue, refuse, place, shift. No clock, socket, timer or random source but those passed in. */
+/**
+ * Pure decision logic: admission, queueing, refusal, placement, and batch against online work. It has no clock, socket,
+ * timer or random source other than those passed in.
+ */
 export * from "./admissionQueue.js";
 export * from "./batchGate.js";
 export * from "./batchOrder.js";
@@ -15,11 +18,11 @@
 export * from "./stepCost.js";
 export * from "./suspects.js";
 export * from "./upstreamHealth.js";
-export * from "./slotBoard.js";
+export * from "./slotTable.js";
 export * from "./onlineAdmission.js";
 export * from "./retryRule.js";
 export * from "./batchGrants.js";
 export * from "./itemOrder.js";
-export * from "./homes.js";
-export * from "./homeOrder.js";
+export * from "./coordinators.js";
+export * from "./coordinatorOrder.js";
 export * from "./failureWatch.js";
--- a/packages/decisions/src/itemOrder.ts
+++ b/packages/decisions/src/itemOrder.ts
@@ -1,62 +1,65 @@
-/** What decides when a batch item gets a place. */
+/** What determines when a batch item gets a slot. */
 export interface ItemOutlook {
     /** Time until its result is due, in milliseconds; negative once it is late. */
     readonly dueInMilliseconds: number;
-    /** Time that it still needs in a place, in milliseconds, as far as can be told; 0 where nothing is known. */
+    /** Estimated time for which it still needs a slot, in milliseconds; 0 if nothing is known. */
     readonly remainingMilliseconds: number;
     readonly eventsSoFar: number;
 }
 
 /**
- * Share of the expected time within which an item may still be done: items differ by a quarter and more around their mean,
- * and one that is given up wrongly is late for sure.
+ * Fraction of the expected time within which an item may still finish: items differ by a quarter and more from their
+ * mean, and an item that is wrongly considered late will certainly be late.
  */
-const OptimisticShare = 0.7;
+const OptimisticFraction = 0.7;
 
 /**
- * Order in which items get places, first ones first; those that come last give their places up first.
+ * Orders the items that wait for a slot, first ones first; the last ones yield their slots first.
  *
- * Load: more items than can be done in time, as after all processes were killed at once or when many submissions come
- * together. Harm prevented: places go to the items that are due first, which can't be done in time any more, until those
- * behind them can't either, and every result comes late. So an item that can't be in time waits behind all that can; it
- * still runs, since its result is wanted. Among those that can, the earliest due goes first, and of one submission the
- * item that has come furthest, whose place is soonest free again.
+ * There may be more items than can finish in time, as after all processes were killed at once or when many submissions
+ * arrive together. Slots would then go to the items that are due first and can't finish in time any more, until those
+ * behind them can't either, and every result is late. So an item that can't finish in time waits behind all that can;
+ * it still runs, because its result is wanted. Among those that can, the earliest due goes first, and within one
+ * submission the item with the most progress, whose slot is free again soonest.
  */
 export function compareItems(left: ItemOutlook, right: ItemOutlook): number {
-    const isLeftLate = isHopeless(left);
-    const isRightLate = isHopeless(right);
+    const isLeftLate = willBeLate(left);
+    const isRightLate = willBeLate(right);
     if (isLeftLate !== isRightLate) {
         return isLeftLate ? 1 : -1;
     }
     return left.dueInMilliseconds - right.dueInMilliseconds || right.eventsSoFar - left.eventsSoFar;
 }
 
-function isHopeless(item: ItemOutlook): boolean {
-    return item.remainingMilliseconds * OptimisticShare > item.dueInMilliseconds;
+function willBeLate(item: ItemOutlook): boolean {
+    return item.remainingMilliseconds * OptimisticFraction > item.dueInMilliseconds;
 }
 
-/** Weight of a new item in the running means: some twenty items decide. */
+/** Weight of a new item in the running means: they represent about the last twenty items. */
 const MeanWeight = 0.05;
 
-/** Learns how long items run: they tell the most that they may produce, not what they will. */
+/** Estimates how long items run. Items state only the maximum that they may produce, not what they will produce. */
 export class ItemLength {
     private meanEvents: number | undefined;
     private meanEventMilliseconds: number | undefined;
 
-    /** An item is done with so many events in all; its last run made `runEvents` of them in a time. */
+    /**
+     * Records a finished item with its total number of events; its last run produced `runEvents` of them in
+     * `runMilliseconds`.
+     */
     record(events: number, runEvents: number, runMilliseconds: number): void {
-        this.meanEvents = mix(this.meanEvents, events);
+        this.meanEvents = updateMean(this.meanEvents, events);
         if (runEvents > 0) {
-            this.meanEventMilliseconds = mix(this.meanEventMilliseconds, runMilliseconds / runEvents);
+            this.meanEventMilliseconds = updateMean(this.meanEventMilliseconds, runMilliseconds / runEvents);
         }
     }
 
-    /** Time that an item still needs, in milliseconds; 0 until items have been seen. */
+    /** Time that an item still needs, in milliseconds; 0 until an item has been recorded. */
     estimate(eventsSoFar: number): number {
         return Math.max(0, (this.meanEvents ?? 0) - eventsSoFar) * (this.meanEventMilliseconds ?? 0);
     }
 }
 
-function mix(mean: number | undefined, value: number): number {
+function updateMean(mean: number | undefined, value: number): number {
     return mean === undefined ? value : mean + (value - mean) * MeanWeight;
 }
--- a/packages/decisions/src/linearFit.ts
+++ b/packages/decisions/src/linearFit.ts
@@ -4,7 +4,9 @@
     readonly slope: number;
 }
 
-/** Two points of a first guess, and how many samples it counts for. */
+/**
+ * An initial assumption: a line that holds from `lowest` to `highest`, and the number of samples that it counts for.
+ */
 export interface LinePrior {
     readonly line: Line;
     readonly lowest: number;
@@ -12,7 +14,10 @@
     readonly weight: number;
 }
 
-/** Fits a straight line by least squares over samples that fade; `retention` is what each sample leaves of the older. */
+/**
+ * Fits a straight line by least squares over samples with decaying weights; each new sample multiplies the weights of
+ * the older ones by `retention`.
+ */
 export class LinearFit {
     private weight = 0;
     private sumX = 0;
@@ -22,7 +27,7 @@
 
     constructor(private readonly retention: number) {}
 
-    /** Adds a first guess. It also keeps the fit stable while all samples have nearly the same `x`. */
+    /** Adds an initial assumption. It also keeps the fit stable while all samples have nearly the same `x`. */
     addPrior(prior: LinePrior): void {
         for (const x of [prior.lowest, prior.highest]) {
             this.addWeighted(x, prior.line.base + prior.line.slope * x, prior.weight / 2);
@@ -50,7 +55,7 @@
         return this.weight === 0 ? 0 : this.sumY / this.weight;
     }
 
-    /** Undefined as long as the samples give no line. */
+    /** Undefined as long as the samples don't determine a line. */
     fit(): Line | undefined {
         const spread = this.weight * this.sumXX - this.sumX * this.sumX;
         if (spread <= 0) {
--- a/packages/decisions/src/onlineAdmission.ts
+++ b/packages/decisions/src/onlineAdmission.ts
@@ -1,9 +1,9 @@
-/** What is known of the shortest queue that an online request could join. */
-export interface QueueOutlook {
-    /** Requests that wait there before it; 0: it starts at once. */
+/** What is known about the shortest queue that an online request could join. */
+export interface QueueEstimate {
+    /** Requests that wait there before it; 0 if it starts at once. */
     readonly waiting: number;
     readonly slots: number;
-    /** Mean time that a request of this kind holds a place, in milliseconds. */
+    /** Mean time for which a request of this kind holds a slot, in milliseconds. */
     readonly serviceMilliseconds: number;
     /** Time to the first event on an idle upstream, in milliseconds. */
     readonly firstAnswerMilliseconds: number;
@@ -11,38 +11,42 @@
     readonly remainingMilliseconds: number;
 }
 
-export type AdmissionVerdict =
+export type OnlineAdmissionDecision =
     | { readonly isAdmitted: true }
-    /** Not run, and when a place should come. */
+    /** Not admitted; `retryAfterMilliseconds` is when a slot is expected. */
     | { readonly isAdmitted: false; readonly retryAfterMilliseconds: number };
 
 /**
- * A queue that costs more than its share of the latency target is not joined. One and a half targets: up to there a late
- * answer comes sooner than one that is asked for again after a refusal.
+ * A request doesn't join a queue in which its first answer would take more than this many latency targets. Up to one
+ * and a half targets, a late answer still arrives sooner than one that is requested again after a refusal.
  */
-const LatestStartFactor = 1.5;
-/** Shortest and longest time that a refused caller is told to wait, in milliseconds: a place comes in tens of them. */
-const ShortestRetryMilliseconds = 150;
-const LongestRetryMilliseconds = 1_500;
+const MaximumLatencyFactor = 1.5;
+/** Shortest and longest retry time for a refused caller: a slot is freed every few tens of milliseconds. */
+const MinimumRetryMilliseconds = 150;
+const MaximumRetryMilliseconds = 1_500;
 
 /**
- * Whether an online request joins the shortest queue.
+ * Decides whether an online request joins the shortest queue.
  *
- * Load: demand over the places of all upstreams, as when a jump in traffic meets crashed engines. Harm prevented: queues
- * that grow until every answer is late and callers have left; a request refused at once finds a place later. Never
- * refused while a place is free.
+ * Demand may exceed the slots of all upstreams, as when traffic jumps while engines have crashed. Queues would then
+ * grow until every answer is late and the callers have left, whereas a request that is refused at once finds a slot
+ * later. No request is refused while a slot is free.
  */
-export function judgeOnline(outlook: QueueOutlook, random: () => number): AdmissionVerdict {
-    if (outlook.waiting <= 0) {
+export function judgeOnline(queue: QueueEstimate, random: () => number): OnlineAdmissionDecision {
+    if (queue.waiting <= 0) {
         return { isAdmitted: true };
     }
-    const wait = (outlook.waiting * outlook.serviceMilliseconds) / Math.max(1, outlook.slots);
-    const latest = Math.min(outlook.remainingMilliseconds, outlook.latencyTargetMilliseconds * LatestStartFactor);
-    if (wait + outlook.firstAnswerMilliseconds <= latest) {
+    const wait = (queue.waiting * queue.serviceMilliseconds) / Math.max(1, queue.slots);
+    const latest = Math.min(queue.remainingMilliseconds, queue.latencyTargetMilliseconds * MaximumLatencyFactor);
+    if (wait + queue.firstAnswerMilliseconds <= latest) {
         return { isAdmitted: true };
     }
-    // Spread over the second half of the wait and as much again, so that those refused together don't return together.
-    const spread = wait * (0.5 + random());
-    const retryAfterMilliseconds = Math.min(LongestRetryMilliseconds, Math.max(ShortestRetryMilliseconds, spread));
+    // The jitter ranges from half of the wait to one and a half times the wait, so that callers refused together don't
+    // return together.
+    const waitWithJitter = wait * (0.5 + random());
+    const retryAfterMilliseconds = Math.min(
+        MaximumRetryMilliseconds,
+        Math.max(MinimumRetryMilliseconds, waitWithJitter),
+    );
     return { isAdmitted: false, retryAfterMilliseconds };
 }
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -7,33 +7,35 @@
 import * as types from "./placementTypes.js";
 import * as upstreamHealth from "./upstreamHealth.js";
 
-/** An upstream may be this far above the mean load before a prefix's request goes elsewhere. */
-const BoundFactor = 1.25;
+/** An upstream's load may exceed the mean by this factor before a prefix's request is sent elsewhere. */
+const MaximumLoadFactor = 1.25;
 /**
- * Part of an upstream's concurrency that is let pass above it: at low load, chance alone puts one upstream a quarter
- * above the mean, and reading a prefix anew costs more than a few more streams beside it.
+ * Fraction of an upstream's concurrency that is tolerated above the mean: at low load, chance alone puts one upstream a
+ * quarter above the mean, and prefilling a prefix again costs more than a few more streams beside it.
+ */
+const LoadSlackFraction = 0.1;
+/**
+ * Upstreams for a prefix, relative to its share of the traffic: a frequent prefix needs spare room to be spread over.
  */
-const BoundSlack = 0.1;
-/** Upstreams for a prefix, in relation to its share of the traffic: a hot one needs room to be spread over. */
 const ReplicaFactor = 1.5;
-/** One request in so many may probe a slow upstream: 0.2% stays out of the p99 even if every probe is slow. */
+/** One request in this many may probe a slow upstream: 0.2% stays outside the p99 even if every probe is slow. */
 const RequestsPerProbe = 500;
-/** What others tell of an upstream's load is used for so long, in milliseconds: twice the time between two reports. */
-const HintLife = 1_000;
-/** Requests that may queue in the engine: some, so that a place that gets free is taken within the step. */
-const EngineQueueAllowed = 2;
-/** When to come back if nothing better is known, in milliseconds; about a short answer's time. */
-const DefaultRetryAfter = 250;
-
-/** What this instance knows of the load of one upstream. */
+/** How long the reported load of other instances is used: twice the interval between two reports. */
+const ReportExpiryMilliseconds = 1_000;
+/** Requests that may queue in the engine: a few, so that a freed slot is taken within the same step. */
+const MaximumEngineQueue = 2;
+/** Retry time when nothing better is known: about the duration of a short answer. */
+const DefaultRetryAfterMilliseconds = 250;
+
+/** What this instance knows about the load of one upstream. */
 class LoadRecord {
     readonly breaker: breaker.Breaker;
-    /** Requests of each class that this instance has there. */
+    /** Requests of each class that this instance has in flight there. */
     online = 0;
     batch = 0;
-    /** Online requests of other instances, as of `hintedAt`. */
-    others = 0;
-    hintedAt: core.MonotonicMilliseconds = -Infinity;
+    /** Online requests of other instances, as of `totalReceivedAt`. */
+    remoteOnline = 0;
+    totalReceivedAt: core.MonotonicMilliseconds = -Infinity;
     waiting = 0;
     reportedAt: core.MonotonicMilliseconds = -Infinity;
 
@@ -50,14 +52,16 @@
 /**
  * Chooses the upstream of a request.
  *
- * Load: prompts that share prefixes, one of them perhaps half of the traffic; upstreams that differ in speed; 3 to 400
- * instances that each see a part. Harm prevented: by load alone every prompt is prefilled anew; by prefix alone the hot
- * prefix overruns one upstream; by load reports alone all instances run after the same stale minimum.
+ * Prompts share prefixes, one of which may make up half of the traffic; upstreams differ in speed; and 3 to 400
+ * instances each see a part of the traffic. Placing by load alone would prefill every prompt again; placing by prefix
+ * alone would overload one upstream with the most frequent prefix; placing by load reports alone would send all
+ * instances to the same stale minimum.
  *
- * So: the prefix ranks the upstreams by rendezvous; a prefix with a share of the traffic gets as many of the first
- * ranks as the share needs (each instance works out the same ones); within these the least loaded wins; and none may
- * be more than a quarter above the mean. The base of the load is what this instance has in flight, which is never
- * stale; totals told by the homes are added while fresh, and engines' reports only count where they show a queue.
+ * Therefore the prefix ranks the upstreams by rendezvous hashing. A prefix with a share of the traffic gets as many of
+ * the first ranks as its share needs (every instance computes the same ones). Among these the least loaded upstream is
+ * chosen, and none may be more than a quarter above the mean. The load is based on what this instance has in flight,
+ * which is never stale. Totals from the coordinators are added while they are fresh, and the engines' reports count
+ * only if they show a queue.
  */
 export class Placement {
     private readonly records = new Map<core.UpstreamId, LoadRecord>();
@@ -66,13 +70,16 @@
     private readonly shares = new prefixShares.PrefixShares();
     private readonly ranks = new rankCache.RankCache();
     private requestsSinceProbe = 0;
-    private sharing = 1;
+    private sharingInstanceCount = 1;
 
     constructor(private readonly settings: types.PlacementSettings) {}
 
-    /** How many instances send to each upstream: the fleet's size times the part of the upstreams that each uses. */
+    /**
+     * Sets how many instances send to each upstream: the number of instances times the fraction of the upstreams that
+     * each of them uses.
+     */
     setSharing(instances: number): void {
-        this.sharing = Math.max(1, instances);
+        this.sharingInstanceCount = Math.max(1, instances);
     }
 
     choose(
@@ -82,18 +89,18 @@
     ): types.PlacementDecision {
         const eligible = candidates.filter(candidate => types.isEligible(candidate, request));
         const usable = eligible.filter(candidate => this.isUsable(candidate, request, now));
-        const quick = usable.filter(candidate => this.isQuick(candidate, now));
-        const probe = this.tryChooseProbe(usable, quick);
+        const fast = usable.filter(candidate => this.isFast(candidate, now));
+        const probe = this.tryChooseProbe(usable, fast);
         if (probe !== undefined) {
             return { kind: types.PlacementKind.Placed, upstream: probe.id };
         }
-        const chosen = this.tryChooseByPrefix(request, candidates, quick.length > 0 ? quick : usable, now);
+        const chosen = this.tryChooseByPrefix(request, candidates, fast.length > 0 ? fast : usable, now);
         return chosen === undefined
             ? { kind: types.PlacementKind.None, retryAfterMilliseconds: this.getRetryAfter(eligible, now) }
             : { kind: types.PlacementKind.Placed, upstream: chosen.id };
     }
 
-    /** Online requests that this instance may have in flight for a model: the limit of its admission queue. */
+    /** Online requests that this instance may have in flight for a model. Used as the limit of its admission queue. */
     getCapacity(
         model: core.ModelId,
         requestClass: core.RequestClass,
@@ -104,20 +111,20 @@
         const available = candidates
             .filter(candidate => types.isEligible(candidate, request))
             .filter(candidate => this.getRecord(candidate.id).breaker.isAvailable(now));
-        const quick = available.filter(
+        const fast = available.filter(
             candidate => this.health.getState(candidate.id) !== upstreamHealth.SpeedState.Slow,
         );
-        // Where all are slow they are what there is, as in `choose`. A capacity of 0 would let nothing in, and without
-        // requests none of them could ever show that it is quick again.
-        return (quick.length > 0 ? quick : available).reduce((sum, candidate) => {
-            const room = Math.max(0, this.getRoom(candidate, now));
-            return sum + this.getOnlineInFlight(candidate.id) + room;
+        // If all are slow, they are used, as in `choose`. A capacity of 0 would admit nothing, and without requests
+        // none of them could ever show that it is fast again.
+        return (fast.length > 0 ? fast : available).reduce((sum, candidate) => {
+            const freeSlots = Math.max(0, this.getFreeSlots(candidate, now));
+            return sum + this.getOnlineInFlight(candidate.id) + freeSlots;
         }, 0);
     }
 
     /**
-     * Whether an upstream that is likely to have the request's prefix cached has room. For choosing among requests that
-     * wait: see `AdmissionQueue.take`.
+     * Whether an upstream that is likely to have the request's prefix cached has a free slot. Used to choose among
+     * waiting requests: see `AdmissionQueue.take`.
      */
     isLocal(
         request: types.PlacementRequest,
@@ -161,7 +168,10 @@
         }
     }
 
-    /** Some tokens came, `milliseconds` after the ones before; call it every so many tokens, not at each. */
+    /**
+     * Records that tokens arrived `milliseconds` after the previous ones; call it once per several tokens, not for
+     * each.
+     */
     onProgress(id: string, tokens: number, milliseconds: number, now: core.MonotonicMilliseconds): void {
         const sent = this.sent.get(id);
         if (sent !== undefined) {
@@ -170,14 +180,14 @@
     }
 
     onFinished(id: string): void {
-        const sent = this.forgetSent(id);
+        const sent = this.removeSent(id);
         if (sent !== undefined) {
             this.getRecord(sent.upstream).breaker.onSuccess();
         }
     }
 
     onFailed(id: string, failure: types.SendFailure, now: core.MonotonicMilliseconds): void {
-        const sent = this.forgetSent(id);
+        const sent = this.removeSent(id);
         if (sent === undefined) {
             return;
         }
@@ -197,8 +207,8 @@
     }
 
     /**
-     * The upstream's home told how many online requests all instances have there, and the shortest time between two
-     * tokens that anybody saw there in the last second, in milliseconds.
+     * Takes a report of the upstream's coordinator: the number of online requests that all instances have there, and
+     * the shortest time between two tokens that any instance observed there in the last second, in milliseconds.
      */
     onOnlineTotal(
         upstream: core.UpstreamId,
@@ -207,14 +217,14 @@
         fastestGap?: number,
     ): void {
         const record = this.getRecord(upstream);
-        record.others = Math.max(0, inFlight - record.online);
-        record.hintedAt = now;
+        record.remoteOnline = Math.max(0, inFlight - record.online);
+        record.totalReceivedAt = now;
         if (fastestGap !== undefined) {
-            this.health.onGapTold(upstream, fastestGap, now);
+            this.health.onGapReported(upstream, fastestGap, now);
         }
     }
 
-    /** What this instance tells the upstream's home. */
+    /** Creates this instance's report to the upstream's coordinator. */
     createPressure(
         instance: core.InstanceId,
         upstream: core.UpstreamId,
@@ -224,11 +234,14 @@
             instance,
             inFlight: this.getOnlineInFlight(upstream),
             queued: 0,
-            fastestGap: this.health.getFreshGap(upstream, now),
+            fastestGap: this.health.getRecentOwnGap(upstream, now),
         };
     }
 
-    /** The engine's own report; a hint, since it lags and counts batch work that gives way. */
+    /**
+     * Takes the engine's own load report. It is only a hint, because it lags and counts batch work that can be
+     * cancelled.
+     */
     onLoadReport(
         upstream: core.UpstreamId,
         report: { readonly waiting: number; readonly ageMilliseconds: number },
@@ -239,7 +252,7 @@
         record.reportedAt = now - report.ageMilliseconds;
     }
 
-    /** Online requests that this instance has on the upstream: what it tells the home. */
+    /** Online requests that this instance has on the upstream; reported to the coordinator. */
     getOnlineInFlight(upstream: core.UpstreamId): number {
         return this.records.get(upstream)?.online ?? 0;
     }
@@ -248,7 +261,7 @@
         return this.health.getState(upstream);
     }
 
-    /** Forgets upstreams that the release note no longer lists, once nothing runs there. */
+    /** Removes upstreams that the release note no longer lists, once nothing runs there. */
     retain(upstreams: ReadonlySet<core.UpstreamId>): void {
         this.health.retain(upstreams);
         for (const [id, record] of this.records) {
@@ -267,7 +280,8 @@
         const byId = new Map(usable.map(candidate => [candidate.id, candidate]));
         const loads = this.getLoads(usable, now);
         const share = this.shares.add(request.prefixHash, now);
-        // Ranks are taken over all candidates: an upstream that rests must not move everybody else's prefixes.
+        // All candidates are ranked: an upstream that is temporarily out of use must not move the other upstreams'
+        // prefixes.
         const ranked = this.ranks
             .get(`${request.model}/${request.prefixHash}`, candidates)
             .map(id => byId.get(id))
@@ -276,36 +290,37 @@
         const mean = estimates.getMean([...loads.values()]);
         const loadOf = (candidate: types.PlacementCandidate): number => loads.get(candidate.id) ?? 0;
         const isWithinBound = (candidate: types.PlacementCandidate): boolean =>
-            loadOf(candidate) <= BoundFactor * mean + Math.max(2, BoundSlack * candidate.concurrency);
-        const preferred = estimates.getLeast(ranked.slice(0, replicas), loadOf);
+            loadOf(candidate) <= MaximumLoadFactor * mean + Math.max(2, LoadSlackFraction * candidate.concurrency);
+        const preferred = estimates.getMinimumBy(ranked.slice(0, replicas), loadOf);
         if (preferred !== undefined && isWithinBound(preferred)) {
             return preferred;
         }
-        return ranked.slice(replicas).find(isWithinBound) ?? estimates.getLeast(ranked, loadOf);
+        return ranked.slice(replicas).find(isWithinBound) ?? estimates.getMinimumBy(ranked, loadOf);
     }
 
     /**
-     * Online requests on each upstream: our own, and the other instances' as the homes told. Where no fresh total is
-     * known the mean of the others stands in: zero would make the least known upstream look the idlest.
+     * Online requests on each upstream: those of this instance, and those of the other instances as reported by the
+     * coordinators. Where no fresh total is known, the mean of the known ones is used: zero would make the least known
+     * upstream look the least loaded.
      */
     private getLoads(
         usable: readonly types.PlacementCandidate[],
         now: core.MonotonicMilliseconds,
     ): ReadonlyMap<core.UpstreamId, number> {
-        const known = usable.filter(candidate => this.isHintFresh(candidate, now));
-        const sum = known.reduce((total, candidate) => total + this.getRecord(candidate.id).others, 0);
-        const usual = known.length === 0 ? 0 : sum / known.length;
+        const known = usable.filter(candidate => this.isTotalFresh(candidate, now));
+        const sum = known.reduce((total, candidate) => total + this.getRecord(candidate.id).remoteOnline, 0);
+        const meanRemoteOnline = known.length === 0 ? 0 : sum / known.length;
         return new Map(
             usable.map(candidate => {
                 const record = this.getRecord(candidate.id);
-                const others = this.isHintFresh(candidate, now) ? record.others : usual;
-                return [candidate.id, record.online + others];
+                const remoteOnline = this.isTotalFresh(candidate, now) ? record.remoteOnline : meanRemoteOnline;
+                return [candidate.id, record.online + remoteOnline];
             }),
         );
     }
 
-    private isHintFresh(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): boolean {
-        return now - this.getRecord(candidate.id).hintedAt <= HintLife;
+    private isTotalFresh(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): boolean {
+        return now - this.getRecord(candidate.id).totalReceivedAt <= ReportExpiryMilliseconds;
     }
 
     private isUsable(
@@ -316,49 +331,50 @@
         if (!this.getRecord(candidate.id).breaker.isAvailable(now)) {
             return false;
         }
-        // Batch has its limit from the upstream's home, and never takes a place of online work here.
-        return request.requestClass === core.RequestClass.Batch || this.hasRoom(candidate, now);
+        // The upstream's coordinator limits batch work, and batch work never takes a slot from online work here.
+        return request.requestClass === core.RequestClass.Batch || this.hasFreeSlot(candidate, now);
     }
 
-    private hasRoom(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): boolean {
-        return this.getRoom(candidate, now) > 0;
+    private hasFreeSlot(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): boolean {
+        return this.getFreeSlots(candidate, now) > 0;
     }
 
     /**
-     * Online requests that may be added. An instance always has its even part of the upstream's places; beyond it
-     * those that the others leave free, as far as the home's total is fresh. Without totals the bound is the even part
-     * and its square root, by which the instances' numbers differ by chance: less leaves places empty while requests
-     * queue here, more lets a queue build up in the engine, where it is first come first served.
+     * Online requests that may be added. An instance may always use its even share of the upstream's slots, and beyond
+     * that the slots that the others leave free, while the coordinator's total is fresh. Without totals the bound is
+     * the even share plus its square root, by which the instances' numbers differ by chance. A lower bound leaves slots
+     * empty while requests queue here; a higher one lets a queue build up in the engine, which serves requests in order
+     * of arrival.
      */
-    private getRoom(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): number {
+    private getFreeSlots(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): number {
         const record = this.getRecord(candidate.id);
-        const evenPart = this.getEvenPart(candidate);
-        const ownRoom = evenPart - record.online;
-        if (record.waiting > EngineQueueAllowed && now - record.reportedAt < HintLife) {
-            return ownRoom;
+        const evenShare = this.getEvenShare(candidate);
+        const ownFree = evenShare - record.online;
+        if (record.waiting > MaximumEngineQueue && now - record.reportedAt < ReportExpiryMilliseconds) {
+            return ownFree;
         }
-        if (this.isHintFresh(candidate, now)) {
-            const free = candidate.concurrency + EngineQueueAllowed - record.others - record.online;
-            return Math.max(ownRoom, Math.min(free, candidate.concurrency - record.online));
+        if (this.isTotalFresh(candidate, now)) {
+            const free = candidate.concurrency + MaximumEngineQueue - record.remoteOnline - record.online;
+            return Math.max(ownFree, Math.min(free, candidate.concurrency - record.online));
         }
-        return Math.min(candidate.concurrency, evenPart + Math.ceil(Math.sqrt(evenPart))) - record.online;
+        return Math.min(candidate.concurrency, evenShare + Math.ceil(Math.sqrt(evenShare))) - record.online;
     }
 
-    private getEvenPart(candidate: types.PlacementCandidate): number {
-        return Math.max(1, Math.round(candidate.concurrency / this.sharing));
+    private getEvenShare(candidate: types.PlacementCandidate): number {
+        return Math.max(1, Math.round(candidate.concurrency / this.sharingInstanceCount));
     }
 
-    private isQuick(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): boolean {
+    private isFast(candidate: types.PlacementCandidate, now: core.MonotonicMilliseconds): boolean {
         const share = this.health.getShare(candidate.id, now);
         return share >= 1 || (share > 0 && this.settings.random() < share);
     }
 
     private tryChooseProbe(
         usable: readonly types.PlacementCandidate[],
-        quick: readonly types.PlacementCandidate[],
+        fast: readonly types.PlacementCandidate[],
     ): types.PlacementCandidate | undefined {
         this.requestsSinceProbe++;
-        if (quick.length === usable.length || this.requestsSinceProbe < RequestsPerProbe) {
+        if (fast.length === usable.length || this.requestsSinceProbe < RequestsPerProbe) {
             return undefined;
         }
         const probe = usable.find(
@@ -371,14 +387,14 @@
     }
 
     private getRetryAfter(eligible: readonly types.PlacementCandidate[], now: core.MonotonicMilliseconds): number {
-        const rests = eligible
-            .map(candidate => this.getRecord(candidate.id).breaker.getRemainingRest(now))
-            .filter(rest => rest > 0);
-        const shortest = rests.length > 0 ? Math.min(...rests) : DefaultRetryAfter;
-        return Math.round(Math.max(DefaultRetryAfter, shortest) * (1 + this.settings.random()));
+        const openTimes = eligible
+            .map(candidate => this.getRecord(candidate.id).breaker.getRemainingOpenMilliseconds(now))
+            .filter(openTime => openTime > 0);
+        const shortest = openTimes.length > 0 ? Math.min(...openTimes) : DefaultRetryAfterMilliseconds;
+        return Math.round(Math.max(DefaultRetryAfterMilliseconds, shortest) * (1 + this.settings.random()));
     }
 
-    private forgetSent(id: string): SentRequest | undefined {
+    private removeSent(id: string): SentRequest | undefined {
         const sent = this.sent.get(id);
         if (sent === undefined) {
             return undefined;
--- a/packages/decisions/src/placementTypes.ts
+++ b/packages/decisions/src/placementTypes.ts
@@ -1,6 +1,6 @@
 import * as core from "@boragedale/core";
 
-/** What placement needs to know of an upstream; a `core.UpstreamDescription` fits. */
+/** What placement needs to know about an upstream; `core.UpstreamDescription` is compatible. */
 export interface PlacementCandidate {
     readonly id: core.UpstreamId;
     readonly dataCentre: core.DataCentre;
@@ -16,7 +16,7 @@
     /** Hash of the beginning of the prompt; equal for prompts that share a cached prefix. */
     readonly prefixHash: string;
     readonly requestClass: core.RequestClass;
-    /** Upstreams that this request has tried. */
+    /** Upstreams that were already tried for this request. */
     readonly exclude?: ReadonlySet<core.UpstreamId>;
 }
 
@@ -29,24 +29,24 @@
     | { readonly kind: PlacementKind.Placed; readonly upstream: core.UpstreamId }
     | { readonly kind: PlacementKind.None; readonly retryAfterMilliseconds: number };
 
-/** How a request that was sent came to its end without an answer. */
+/** How a request that was sent ended without an answer. */
 export enum SendFailure {
     /** The upstream died or its connection broke. */
     Died = "Died",
-    /** It answered with an error of its own, or was silent. */
+    /** It answered with an error of its own or didn't respond. */
     Failed = "Failed",
-    /** It said that it is full or not ready. */
+    /** It reported that it is full or not ready. */
     Busy = "Busy",
-    /** Ended by us or by the caller; tells nothing of the upstream. */
+    /** Ended by us or by the caller; says nothing about the upstream. */
     Abandoned = "Abandoned",
 }
 
 export interface PlacementSettings {
-    /** From 0 up to 1. */
+    /** Returns a number from 0 up to 1. */
     readonly random: () => number;
 }
 
-/** Whether the release note lets the upstream serve the request, and the request has not tried it. */
+/** Whether the release note lets the upstream serve the request, and the request hasn't tried the upstream yet. */
 export function isEligible(candidate: PlacementCandidate, request: PlacementRequest): boolean {
     return (
         !candidate.isLeaving &&
--- a/packages/decisions/src/prefixShares.ts
+++ b/packages/decisions/src/prefixShares.ts
@@ -1,8 +1,10 @@
 import type * as core from "@boragedale/core";
 
-/** Time in which a prefix's count halves, in milliseconds: long enough to tell 50% from chance, short for a shift. */
-const HalfLife = 10_000;
-/** Prefixes kept; the rest of the traffic is cold by definition. */
+/**
+ * Time in which a prefix's count halves: long enough to distinguish 50% from chance, short enough to follow a shift.
+ */
+const HalfLifeMilliseconds = 10_000;
+/** Number of prefixes kept; the remaining prefixes are infrequent by definition. */
 const Capacity = 2_048;
 
 interface Count {
@@ -10,7 +12,7 @@
     updatedAt: core.MonotonicMilliseconds;
 }
 
-/** Which part of the traffic each prompt prefix has, by counts that decay. Memory is bounded. */
+/** Estimates the share of the traffic of each prompt prefix by decaying counts. Memory is bounded. */
 export class PrefixShares {
     private readonly counts = new Map<string, Count>();
     private readonly total: Count = { value: 0, updatedAt: 0 };
@@ -20,7 +22,7 @@
         increase(this.total, now);
         let count = this.counts.get(prefix);
         if (count === undefined) {
-            this.makeRoom();
+            this.evictIfFull();
             count = { value: 0, updatedAt: now };
         }
         else {
@@ -31,14 +33,14 @@
         return count.value / this.total.value;
     }
 
-    /** The prefix's share of the traffic, 0 to 1, without counting. */
+    /** Returns the prefix's share of the traffic, 0 to 1, without counting a request. */
     get(prefix: string, now: core.MonotonicMilliseconds): number {
         const count = this.counts.get(prefix);
         return count === undefined ? 0 : decay(count, now) / Math.max(1, decay(this.total, now));
     }
 
-    /** Drops the prefix not seen for longest. */
-    private makeRoom(): void {
+    /** Drops the least recently seen prefix if the map is full. */
+    private evictIfFull(): void {
         if (this.counts.size >= Capacity) {
             const oldest = this.counts.keys().next();
             if (oldest.done !== true) {
@@ -54,5 +56,5 @@
 }
 
 function decay(count: Count, now: core.MonotonicMilliseconds): number {
-    return count.value * 2 ** -(Math.max(0, now - count.updatedAt) / HalfLife);
+    return count.value * 2 ** -(Math.max(0, now - count.updatedAt) / HalfLifeMilliseconds);
 }
--- a/packages/decisions/src/priorityQueue.ts
+++ b/packages/decisions/src/priorityQueue.ts
@@ -1,4 +1,7 @@
-/** A binary heap; equal entries leave in the order in which they came, so that a run is the same every time. */
+/**
+ * A binary heap. Items of equal priority are removed in the order in which they were added, so that runs are
+ * reproducible.
+ */
 export class PriorityQueue<T> {
     private readonly heap: { readonly item: T; readonly priority: number; readonly order: number }[] = [];
     private nextOrder = 0;
@@ -7,7 +10,7 @@
         return this.heap.length;
     }
 
-    /** Adds an item; the lowest priority leaves first. */
+    /** Adds an item; the lowest priority is removed first. */
     push(item: T, priority: number): void {
         this.heap.push({ item, priority, order: this.nextOrder++ });
         this.siftUp(this.heap.length - 1);
@@ -28,7 +31,7 @@
         return first.item;
     }
 
-    /** Keeps only the items that pass; used when most entries are stale. */
+    /** Keeps only the wanted items; used when most entries are stale. */
     filter(isWanted: (item: T) => boolean): void {
         const kept = this.heap.filter(entry => isWanted(entry.item));
         this.heap.length = 0;
--- a/packages/decisions/src/rankCache.ts
+++ b/packages/decisions/src/rankCache.ts
@@ -1,12 +1,12 @@
 import type * as core from "@boragedale/core";
 import * as hashing from "./hashing.js";
 
-/** Prefixes whose ranks are kept: more than an engine caches. */
+/** Number of prefixes whose ranks are kept: more than an engine caches. */
 const Capacity = 4_096;
 
 /**
- * Keeps the rendezvous ranks of the prefixes seen lately. Ranking 133 upstreams for each request that waits would cost
- * an instance more time than the rest of placement. Pass the same array until the upstreams change.
+ * Caches the rendezvous ranks of recently seen prefixes. Ranking 133 upstreams for each waiting request would take an
+ * instance more time than the rest of placement. Pass the same array until the upstreams change.
  */
 export class RankCache {
     private candidates: readonly { readonly id: core.UpstreamId }[] = [];
@@ -23,13 +23,13 @@
                 key,
                 candidates.map(candidate => candidate.id),
             );
-            this.makeRoom();
+            this.evictIfFull();
             this.ranks.set(key, ranked);
         }
         return ranked;
     }
 
-    private makeRoom(): void {
+    private evictIfFull(): void {
         if (this.ranks.size >= Capacity) {
             const oldest = this.ranks.keys().next();
             if (oldest.done !== true) {
--- a/packages/decisions/src/retryBudget.ts
+++ b/packages/decisions/src/retryBudget.ts
@@ -1,10 +1,10 @@
 /**
- * Bounds retries to a part of the traffic.
+ * Bounds retries to a fraction of the traffic.
  *
- * Load: an upstream, rack or data centre that fails while the fleet is busy. Harm prevented: each failed request being
- * sent again doubles the load at the very moment when capacity is lost, and the rest fails too. A tenth of the traffic
- * is enough for the failures of an ordinary day (a few in a thousand) and can't tip a fleet with a tenth to spare. The
- * small reserve lets an instance with little traffic retry at all.
+ * An upstream, rack or data centre may fail while the fleet is busy. If each failed request were sent again, the load
+ * would double at the very moment when capacity is lost, and the remaining upstreams would fail, too. A tenth of the
+ * traffic is enough for the failures of an ordinary day (a few in a thousand) and can't overload a fleet that has a
+ * tenth of its capacity to spare. The small reserve lets an instance with little traffic retry at all.
  */
 export class RetryBudget {
     private balance: number;
@@ -16,12 +16,12 @@
         this.balance = reserve;
     }
 
-    /** A request came in for the first time. */
+    /** Records a request that arrived for the first time. */
     onRequest(): void {
         this.balance = Math.min(this.reserve, this.balance + this.fraction);
     }
 
-    /** True when a request may be sent again. */
+    /** Takes one retry from the budget; returns false if it is exhausted. */
     tryTake(): boolean {
         if (this.balance < 1) {
             return false;
--- a/packages/decisions/src/retryRule.ts
+++ b/packages/decisions/src/retryRule.ts
@@ -1,37 +1,40 @@
 /** How one attempt at an upstream ended without an answer that can be passed on. */
 export enum AttemptEnd {
-    /** The upstream proved that it did not run the request, or nothing of it left. */
+    /** The upstream proved that it did not run the request, or nothing of the request was sent. */
     NotRun = "NotRun",
     /** It may have run. */
     MayHaveRun = "MayHaveRun",
 }
 
-export interface RepeatState {
+export interface RetryState {
     readonly end: AttemptEnd;
-    /** May run any number of times, or goes on where it stopped. */
+    /** Whether the request may run any number of times or can resume where it stopped. */
     readonly isRepeatable: boolean;
-    /** Attempts that may have run so far, this one included. */
+    /** Attempts so far that may have run, including this one. */
     readonly runs: number;
-    /** Attempts of any end, this one included. */
+    /** All attempts so far, including this one. */
     readonly sends: number;
-    /** Most upstreams that may run one attempt of a caller. */
+    /** Maximum number of upstreams on which one attempt of a caller may run. */
     readonly allowedRuns: number;
     readonly remainingMilliseconds: number;
 }
 
-/** Upstreams that prove not to have run a request cost little, but a fleet that is full must not be asked upstream by upstream. */
-const MostSends = 4;
-/** Less time than this serves nobody, in milliseconds: a new attempt needs a connection and a first answer. */
-const LeastRemainingMilliseconds = 30;
+/**
+ * Maximum number of attempts. An upstream that proves not to have run a request costs little, but if the whole fleet is
+ * full, a request must not try one upstream after the other.
+ */
+const MaximumSends = 4;
+/** With less time than this a retry is useless: a new attempt needs a connection and a first answer. */
+const MinimumRemainingMilliseconds = 30;
 
 /**
- * Whether a request may go to another upstream.
+ * Whether a request may be sent to another upstream.
  *
- * Load: upstreams that crash, leave, are full, or lose answers. Harm prevented: a request that may run once runs twice; a
- * request that kills upstreams reaches all of them.
+ * Upstreams may crash, leave, be full, or lose answers. Retrying freely would run a request twice that may run only
+ * once, and would spread a request that crashes upstreams to all of them.
  */
-export function mayRepeat(state: RepeatState): boolean {
-    if (state.sends >= MostSends || state.remainingMilliseconds < LeastRemainingMilliseconds) {
+export function mayRepeat(state: RetryState): boolean {
+    if (state.sends >= MaximumSends || state.remainingMilliseconds < MinimumRemainingMilliseconds) {
         return false;
     }
     return state.end === AttemptEnd.NotRun || (state.isRepeatable && state.runs < state.allowedRuns);
--- a/packages/decisions/src/slotBoard.ts
+++ b/packages/decisions/src/slotTable.ts
@@ -1,6 +1,6 @@
 import type * as core from "@boragedale/core";
 
-/** Requests of one class each that one instance has on an upstream. */
+/** Numbers of requests of each class that one instance has on an upstream. */
 export interface SlotUse {
     readonly online: number;
     readonly batch: number;
@@ -11,7 +11,7 @@
     readonly id: core.UpstreamId;
     readonly slots: number;
     readonly dataCentre: core.DataCentre;
-    /** Whether a kept connection to it is free here. */
+    /** Whether this instance has an idle open connection to it. */
     readonly hasIdleConnection?: boolean;
 }
 
@@ -20,31 +20,32 @@
     readonly id: core.UpstreamId;
     /** Requests that wait there before this one, over all instances. */
     readonly waiting: number;
-    /** Set where batch work holds the place that this request needs; the holder gives it up. */
+    /** The instance whose batch work yields the slot that this request needs, if it needs one. */
     readonly yielder: core.InstanceId | undefined;
 }
 
 interface UpstreamUse {
     own: { online: number; batch: number };
     readonly peers: Map<core.InstanceId, SlotUse>;
-    /** Set when the upstream refused as full or didn't answer: what we know of its load is too low. */
+    /** Set when the upstream rejected a request as full or didn't answer: its known load is too low. */
     penaltyUntil: core.MonotonicMilliseconds;
 }
 
-/** Name under which this instance's own batch work stands in a choice. */
+/** Represents this instance as the yielding instance in a choice. */
 export const SelfInstance = "";
 
 /**
- * Who uses which upstream, as far as this instance knows: its own requests exactly, those of its peers as they last
- * told. Engines admit in order of arrival and know no classes, so the places themselves are what has to be shared.
+ * Tracks which instance uses which upstream: this instance's own requests exactly, those of its peers as last reported.
+ * Engines admit requests in order of arrival and don't know request classes, so the instances have to share the slots
+ * themselves.
  *
- * Load: online bursts at one or several instances while batch work fills the idle places. Harm prevented: a request
- * queued behind batch work or behind a peer's burst on one engine while another engine is idle.
+ * Online bursts arrive at one or several instances while batch work fills the idle slots. Without the table, a request
+ * could queue behind batch work or behind a peer's burst on one engine while another engine is idle.
  */
 export class SlotBoard {
     private readonly uses = new Map<core.UpstreamId, UpstreamUse>();
 
-    /** `preference` is this instance's own fixed order of upstreams, each from 0 (first) to 1. */
+    /** `preference` is this instance's own fixed order of upstreams; each has a value from 0 (first) to 1. */
     constructor(
         private readonly random: () => number,
         private readonly preference: (upstream: core.UpstreamId) => number,
@@ -74,7 +75,7 @@
         return this.getUse(upstream).own;
     }
 
-    /** What a peer told of its use; replaces what it told before. */
+    /** Sets the use reported by a peer, replacing its previous report. */
     setPeer(peer: core.InstanceId, upstream: core.UpstreamId, use: SlotUse): void {
         const peers = this.getUse(upstream).peers;
         if (use.online === 0 && use.batch === 0) {
@@ -85,18 +86,18 @@
         }
     }
 
-    /** A peer was given more places; its next notice replaces the sum. */
+    /** Adds slots that were granted to a peer; the peer's next notification replaces the sum. */
     addPeer(peer: core.InstanceId, upstream: core.UpstreamId, more: SlotUse): void {
         const known = this.getUse(upstream).peers.get(peer) ?? { online: 0, batch: 0 };
         this.setPeer(peer, upstream, { online: known.online + more.online, batch: known.batch + more.batch });
     }
 
-    /** A peer is gone, and the connections of its requests with it. */
+    /** Removes a peer that was removed from the fleet; the connections of its requests are closed, too. */
     removePeer(peer: core.InstanceId): void {
         this.uses.forEach(use => use.peers.delete(peer));
     }
 
-    /** The upstream refused or was silent: take it as full until then. */
+    /** Treats the upstream as full until the given time, because it rejected a request or didn't answer. */
     penalize(upstream: core.UpstreamId, until: core.MonotonicMilliseconds): void {
         const use = this.getUse(upstream);
         use.penaltyUntil = Math.max(use.penaltyUntil, until);
@@ -122,11 +123,12 @@
     }
 
     /**
-     * The upstream for an online request: the one with the most free places; where none is free, one whose place batch
-     * work gives up; else the shortest queue for its size. Among equals each instance has its own order, so that those
-     * which see the same board don't all send to the same upstream before they hear of each other: at the height of a
-     * burst five requests come in the time that a notice takes. Batch work gives up a place already when fewer than
-     * `reserve` would stay free, since the free place of which everybody knows is the one that two take at once.
+     * Chooses the upstream for an online request: the one with the most free slots; if there is none, one on which
+     * batch work can yield a slot; otherwise the one with the shortest queue relative to its size. Among equal
+     * upstreams each instance has its own order, so that instances which see the same table don't all send to the same
+     * upstream before they are notified of each other's requests: at the peak of a burst, five requests arrive within
+     * the delay of one notification. Batch work yields a slot as soon as fewer than `reserve` slots would stay free,
+     * because a single free slot that all instances know of is the one that two of them take at once.
      */
     tryChooseOnline(
         candidates: readonly SlotCandidate[],
@@ -147,15 +149,15 @@
             return undefined;
         }
         const total = this.getTotal(best.id);
-        const needsPlace = total.online + total.batch + 1 > best.slots - reserve && total.batch > 0;
+        const needsSlot = total.online + total.batch + 1 > best.slots - reserve && total.batch > 0;
         return {
             id: best.id,
             waiting: Math.max(0, total.online - best.slots + 1),
-            yielder: needsPlace ? this.tryChooseYielder(best.id) : undefined,
+            yielder: needsSlot ? this.tryChooseYieldingInstance(best.id) : undefined,
         };
     }
 
-    /** The upstream on which a batch item may start: one that keeps `reserve` places free for online work. */
+    /** Chooses the upstream on which a batch item may start: one that keeps `reserve` slots free for online work. */
     tryChooseBatch(
         candidates: readonly SlotCandidate[],
         reserve: number,
@@ -172,8 +174,8 @@
             }
             const score =
                 free / candidate.slots +
-                this.random() * TieSpread +
-                (candidate.dataCentre === dataCentre ? NearBonus : 0) +
+                this.random() * TieBreakSpread +
+                (candidate.dataCentre === dataCentre ? SameDataCentreBonus : 0) +
                 (candidate.hasIdleConnection === true ? ConnectionBonus : 0);
             if (score > bestScore) {
                 best = candidate.id;
@@ -192,16 +194,16 @@
         const total = this.getTotal(candidate.id);
         const occupied = (total.online + total.batch) / candidate.slots;
         const online = total.online / candidate.slots;
-        // A free place beats one that batch work must give up, and that beats a queue.
+        // A free slot is better than one that batch work has to yield, which is better than a queue.
         const base = occupied < 1 ? occupied : online < 1 ? 1 + online : 2 + online;
         const penalty = use.penaltyUntil > now ? PenaltyScore : 0;
-        const near = candidate.dataCentre === dataCentre ? 0 : NearBonus;
+        const distance = candidate.dataCentre === dataCentre ? 0 : SameDataCentreBonus;
         const connection = candidate.hasIdleConnection === true ? 0 : ConnectionBonus;
-        const order = this.preference(candidate.id) * PreferenceSpread + this.random() * TieSpread;
-        return base + penalty + near + connection + order;
+        const order = this.preference(candidate.id) * PreferenceSpread + this.random() * TieBreakSpread;
+        return base + penalty + distance + connection + order;
     }
 
-    private tryChooseYielder(upstream: core.UpstreamId): core.InstanceId | undefined {
+    private tryChooseYieldingInstance(upstream: core.UpstreamId): core.InstanceId | undefined {
         const use = this.getUse(upstream);
         if (use.own.batch > 0) {
             return SelfInstance;
@@ -227,16 +229,16 @@
     }
 }
 
-/** One place of eight: it decides among upstreams whose load differs by one request at most. */
+/** One slot of eight: the preference decides among upstreams whose load differs by at most one request. */
 const PreferenceSpread = 0.125;
-/** A quarter of a place: instances with like orders part ways. */
-const TieSpread = 0.03;
-/** Half a place: the way to another data centre costs a millisecond or two, a queue costs tens. */
-const NearBonus = 0.06;
+/** A quarter of a slot, so that instances with similar preferences choose differently. */
+const TieBreakSpread = 0.03;
+/** Half a slot: reaching another data centre takes a millisecond or two, a queue takes tens of milliseconds. */
+const SameDataCentreBonus = 0.06;
 /**
- * Half a place: a new connection costs the caller a way there and back and the upstream a millisecond of its time, and a
- * burst opens hundreds. It decides among upstreams whose load is about the same, never between a free place and a queue.
+ * Half a slot: a new connection costs the caller a round trip and the upstream a millisecond of its time, and a burst
+ * opens hundreds. It decides among upstreams with about the same load, never between a free slot and a queue.
  */
 const ConnectionBonus = 0.06;
-/** Beyond any queue. */
+/** Higher than any queue. */
 const PenaltyScore = 100;
--- a/packages/decisions/src/suspects.ts
+++ b/packages/decisions/src/suspects.ts
@@ -3,23 +3,23 @@
 /** How a request may be run. */
 export enum SuspectVerdict {
     Usual = "Usual",
-    /** It was on an upstream that died: no other suspect beside it, and on one upstream only. */
+    /** It was in flight on an upstream that died: it runs on a single upstream, without another suspect beside it. */
     Alone = "Alone",
-    /** It was there when a second upstream died: not at all for a time. */
+    /** It was in flight when a second upstream died: it doesn't run at all for some time. */
     Quarantined = "Quarantined",
 }
 
 export interface SuspectDecision {
     readonly verdict: SuspectVerdict;
     readonly deaths: number;
-    /** For how long the quarantine lasts, in milliseconds; 0 without one. */
+    /** Remaining time of the quarantine, in milliseconds; 0 without one. */
     readonly retryAfterMilliseconds: number;
 }
 
-/** What instances tell each other of a suspect. Merging is idempotent and doesn't depend on the order. */
+/** What instances report to each other about a suspect. Merging is idempotent and doesn't depend on the order. */
 export interface SuspectReport {
     readonly fingerprint: string;
-    /** Deaths on each upstream. */
+    /** Number of deaths on each upstream. */
     readonly deathsByUpstream: Readonly<Record<core.UpstreamId, number>>;
 }
 
@@ -28,45 +28,50 @@
     readonly sentAt: core.MonotonicMilliseconds;
 }
 
-interface SeenDeaths {
+interface DeathCount {
     count: number;
     lastAt: core.MonotonicMilliseconds;
 }
 
 interface Suspect {
-    readonly deaths: Map<core.UpstreamId, SeenDeaths>;
+    readonly deaths: Map<core.UpstreamId, DeathCount>;
     lastDeathAt: core.MonotonicMilliseconds;
 }
 
-/** Deaths that quarantine: one is chance, as every request that was there shares it; two, the second alone, is proof. */
-const DeathsToQuarantine = 2;
-/** How long a quarantine lasts, in milliseconds: callers resend for minutes, and a fix of the engine takes longer. */
-const QuarantineTime = 15 * 60_000;
-/** How long a suspect that never ran again is remembered, in milliseconds. */
-const SuspicionTime = 10 * 60_000;
+/**
+ * Deaths after which a request is quarantined: the first may be a coincidence, because every request in flight there
+ * shares it; a second one, with the request running alone, is proof.
+ */
+const DefaultDeathsToQuarantine = 2;
+/** How long a quarantine lasts: callers resend for minutes, and fixing the engine takes longer. */
+const QuarantineMilliseconds = 15 * 60_000;
+/** How long a suspect that hasn't run again is remembered. */
+const SuspicionMilliseconds = 10 * 60_000;
 
 /**
- * Finds the request that crashes engines, and stops it.
+ * Finds the request that crashes engines and stops it.
  *
- * Load: a request that crashes each upstream that runs it, sent again by its caller and by our own retries. Harm
- * prevented: one such request takes the whole fleet down, an upstream each few seconds. Each request that was in flight
- * on an upstream that died is a suspect, by the fingerprint of its body, and runs again only alone: the next death then
- * has one suspect on it and proves it. Finishing clears a suspect, so that innocents get through with a short delay.
+ * A request that crashes each upstream that runs it is sent again by its caller and by our own retries. Unless it is
+ * stopped, one such request takes down the whole fleet, one upstream every few seconds. Each request that was in flight
+ * on an upstream that died becomes a suspect, identified by the fingerprint of its body, and runs again only alone: the
+ * next death then has a single suspect and proves its fault. A suspect that finishes is cleared, so that requests which
+ * didn't cause the crash succeed after a short delay.
  */
 export class SuspectRegistry {
     private readonly suspects = new Map<string, Suspect>();
     /** Requests in flight on each upstream, by request id. */
     private readonly inFlight = new Map<core.UpstreamId, Map<string, SentRequest>>();
-    /** Suspects that run: fingerprint to upstream. */
+    /** Suspects that are running: fingerprint to upstream. */
     private readonly runningAlone = new Map<string, core.UpstreamId>();
 
     /**
-     * `deathsToQuarantine`: where many upstreams crash at once for other reasons, a request can meet two deaths by chance
-     * before a second one alone is sure; three then prove it.
+     * `deathsToQuarantine`: if many upstreams crash at once for other reasons, a request can be in flight at two deaths
+     * by coincidence, before a second death while it runs alone proves its fault; three deaths are then needed as
+     * proof.
      */
-    constructor(private readonly deathsToQuarantine = DeathsToQuarantine) {}
+    constructor(private readonly deathsToQuarantine = DefaultDeathsToQuarantine) {}
 
-    /** How a request of this fingerprint may run. */
+    /** Decides how a request with this fingerprint may run. */
     judge(fingerprint: string, now: core.MonotonicMilliseconds): SuspectDecision {
         const suspect = this.tryGetSuspect(fingerprint, now);
         const deaths = suspect === undefined ? 0 : countDeaths(suspect);
@@ -76,13 +81,13 @@
         if (deaths < this.deathsToQuarantine) {
             return { verdict: SuspectVerdict.Alone, deaths, retryAfterMilliseconds: 0 };
         }
-        const retryAfterMilliseconds = suspect.lastDeathAt + QuarantineTime - now;
+        const retryAfterMilliseconds = suspect.lastDeathAt + QuarantineMilliseconds - now;
         return { verdict: SuspectVerdict.Quarantined, deaths, retryAfterMilliseconds };
     }
 
     /**
-     * Whether the request may be sent to the upstream now, by all that is known here. A suspect needs an upstream with
-     * no other suspect, and must not run on a second one.
+     * Whether the request may be sent to the upstream now, as far as this instance knows. A suspect needs an upstream
+     * without another suspect and must not run on two upstreams.
      */
     maySend(fingerprint: string, upstream: core.UpstreamId, now: core.MonotonicMilliseconds): boolean {
         switch (this.judge(fingerprint, now).verdict) {
@@ -107,20 +112,23 @@
         }
     }
 
-    /** It ran to its end: innocent. */
+    /** The request finished, which clears it of suspicion. */
     onFinished(id: string, upstream: core.UpstreamId): void {
-        const fingerprint = this.forgetInFlight(id, upstream);
+        const fingerprint = this.removeInFlight(id, upstream);
         if (fingerprint !== undefined) {
             this.suspects.delete(fingerprint);
         }
     }
 
-    /** It ended in a way that proves nothing. */
+    /** The request ended in a way that proves nothing. */
     onAbandoned(id: string, upstream: core.UpstreamId): void {
-        this.forgetInFlight(id, upstream);
+        this.removeInFlight(id, upstream);
     }
 
-    /** The upstream died: all that was in flight there from here becomes suspect. Send the reports to the peers. */
+    /**
+     * The upstream died: all requests that this instance had in flight there become suspects. Send the returned reports
+     * to the peers.
+     */
     onUpstreamDied(upstream: core.UpstreamId, now: core.MonotonicMilliseconds): readonly SuspectReport[] {
         const requests = this.inFlight.get(upstream);
         if (requests === undefined) {
@@ -128,16 +136,18 @@
         }
         this.inFlight.delete(upstream);
         const sentAt = new Map([...requests.values()].map(request => [request.fingerprint, request.sentAt]));
-        // A suspect that ran alone explains the death: the others beside it would be blamed without cause.
+        // A suspect that ran alone explains the death: the requests beside it must not be suspected without cause.
         const alone = [...sentAt.keys()].filter(fingerprint => this.runningAlone.get(fingerprint) === upstream);
-        const blamed = alone.length > 0 ? alone : [...sentAt.keys()];
+        const suspected = alone.length > 0 ? alone : [...sentAt.keys()];
         for (const fingerprint of alone) {
             this.runningAlone.delete(fingerprint);
         }
-        return blamed.map(fingerprint => this.blame(fingerprint, upstream, sentAt.get(fingerprint) ?? now, now));
+        return suspected.map(fingerprint =>
+            this.recordDeath(fingerprint, upstream, sentAt.get(fingerprint) ?? now, now),
+        );
     }
 
-    /** Takes in what a peer told. */
+    /** Merges a report of a peer. */
     merge(report: SuspectReport, now: core.MonotonicMilliseconds): void {
         const suspect = this.getSuspect(report.fingerprint, now);
         for (const [upstream, deaths] of Object.entries(report.deathsByUpstream)) {
@@ -148,7 +158,7 @@
         }
     }
 
-    /** Forgets what is too old to matter. */
+    /** Removes expired suspects. */
     expire(now: core.MonotonicMilliseconds): void {
         for (const fingerprint of [...this.suspects.keys()]) {
             this.tryGetSuspect(fingerprint, now);
@@ -156,10 +166,11 @@
     }
 
     /**
-     * A death that a peer told of after the request was sent is the one that ended the request here. Counted twice, a
-     * single crash would quarantine every prompt that ran from two instances, innocent ones too.
+     * Records a death of the upstream for a request that was in flight there. If a peer reported a death after the
+     * request was sent, it is the one that ended the request here. Counting it twice would quarantine every prompt that
+     * ran from two instances because of a single crash, even if it didn't cause the crash.
      */
-    private blame(
+    private recordDeath(
         fingerprint: string,
         upstream: core.UpstreamId,
         sentAt: core.MonotonicMilliseconds,
@@ -179,7 +190,7 @@
         return [...this.runningAlone.values()].includes(upstream);
     }
 
-    private forgetInFlight(id: string, upstream: core.UpstreamId): string | undefined {
+    private removeInFlight(id: string, upstream: core.UpstreamId): string | undefined {
         const requests = this.inFlight.get(upstream);
         const fingerprint = requests?.get(id)?.fingerprint;
         requests?.delete(id);
@@ -194,8 +205,9 @@
         if (suspect === undefined) {
             return undefined;
         }
-        const life = countDeaths(suspect) >= this.deathsToQuarantine ? QuarantineTime : SuspicionTime;
-        if (now - suspect.lastDeathAt < life) {
+        const expiryMilliseconds =
+            countDeaths(suspect) >= this.deathsToQuarantine ? QuarantineMilliseconds : SuspicionMilliseconds;
+        if (now - suspect.lastDeathAt < expiryMilliseconds) {
             return suspect;
         }
         this.suspects.delete(fingerprint);
