--- a/packages/decisions/src/batchGrants.ts
+++ b/packages/decisions/src/batchGrants.ts
@@ -34,7 +34,7 @@
         const pending = (this.grants.get(upstream) ?? []).filter(grant => grant.until > now);
         const hasFreeSlot = total.online + total.batch + pending.length < slots - reserve;
         if (hasFreeSlot) {
-            pending.push({ requester: requester, until: now + GrantExpiryMilliseconds });
+            pending.push({ requester, until: now + GrantExpiryMilliseconds });
         }
         this.grants.set(upstream, pending);
         return hasFreeSlot;
--- a/packages/decisions/src/concurrencyLimit.ts
+++ b/packages/decisions/src/concurrencyLimit.ts
@@ -33,9 +33,9 @@
  * Servers that are not engines receive short calls and don't batch them: beyond a certain number, each further call
  * only queues inside the server. A slow service would hold more and more calls until each of them times out, and calls
  * that must not be repeated would end with an unknown outcome. The limit grows by one per round of successes while it
- * is fully used. It falls by a fifth at overload or at 2.5 times the baseline latency, at most once per round, because
- * the calls of one round all experienced the same queue. At least one call may always run; otherwise the limit could
- * never detect that the service has recovered.
+ * is mostly in use. It falls by a fifth at overload or at 2.5 times the baseline latency, at most once per round,
+ * because the calls of one round all experienced the same queue. At least one call may always run; otherwise the limit
+ * could never detect that the service has recovered.
  */
 export class ConcurrencyLimit {
     private limit: number;
--- a/packages/decisions/src/failureWatch.ts
+++ b/packages/decisions/src/failureWatch.ts
@@ -4,7 +4,7 @@
  * How many of the latest request outcomes are considered for each upstream, and how many failures among them cause it
  * to be avoided.
  */
-const RecentOutcomes = 8;
+const RecentOutcomeCount = 8;
 const FailuresToAvoid = 2;
 /**
  * First and longest time for which an upstream is avoided. A partially failing upstream fails for seconds and receives
@@ -48,13 +48,13 @@
     ): core.MonotonicMilliseconds | undefined {
         const record = this.getRecord(upstream);
         record.outcomes.push(isFailure);
-        if (record.outcomes.length > RecentOutcomes) {
+        if (record.outcomes.length > RecentOutcomeCount) {
             record.outcomes.shift();
         }
-        if (record.outcomes.length === RecentOutcomes && !record.outcomes.includes(true)) {
+        if (record.outcomes.length === RecentOutcomeCount && !record.outcomes.includes(true)) {
             record.nextAvoidMilliseconds = InitialAvoidMilliseconds;
         }
-        const failures = record.outcomes.filter(end => end).length;
+        const failures = record.outcomes.filter(hasFailed => hasFailed).length;
         if (
             !isFailure ||
             failures < FailuresToAvoid ||
--- a/packages/decisions/src/coordinatorOrder.ts
+++ b/packages/decisions/src/homeOrder.ts
@@ -64,8 +64,8 @@
     /** Returns the coordinators worth asking, best first, without those that recently didn't answer. */
     rank(coordinators: readonly CoordinatorCandidate[], now: core.MonotonicMilliseconds): readonly core.InstanceId[] {
         return coordinators
-            .filter(home => (this.skippedUntil.get(home.id) ?? -Infinity) <= now)
-            .map(home => ({ id: home.id, score: this.score(home, now) }))
+            .filter(coordinator => (this.skippedUntil.get(coordinator.id) ?? -Infinity) <= now)
+            .map(coordinator => ({ id: coordinator.id, score: this.score(coordinator, now) }))
             .sort((left, right) => right.score - left.score)
             .map(({ id }) => id);
     }
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -23,6 +23,6 @@
 export * from "./retryRule.js";
 export * from "./batchGrants.js";
 export * from "./itemOrder.js";
-export * from "./coordinators.js";
-export * from "./coordinatorOrder.js";
+export * from "./homes.js";
+export * from "./homeOrder.js";
 export * from "./failureWatch.js";
