--- a/packages/customers/src/credentials.ts
+++ b/packages/customers/src/credentials.ts
@@ -2,12 +2,12 @@
 
 export enum CredentialKind {
     Missing = "Missing",
-    /** Not one bearer token: another scheme, no token, or several headers, of which nobody can tell which holds. */
+    /** Not exactly one bearer token: another scheme, no token, or several headers, which would be ambiguous. */
     Malformed = "Malformed",
     Token = "Token",
 }
 
-/** What a request's `Authorization` says (RFC 6750, 2.1). */
+/** What a request's `Authorization` header contains (RFC 6750, 2.1). */
 export type Credentials =
     | { readonly kind: CredentialKind.Missing | CredentialKind.Malformed }
     | { readonly kind: CredentialKind.Token; readonly token: string };
@@ -16,7 +16,7 @@
 const HeaderLength = HeaderName.length;
 const BearerPattern = /^Bearer[ \t]+(\S+)$/i;
 
-/** `rawHeaders`: names and values in turn, as they arrived. */
+/** `rawHeaders` contains names and values alternately, in the order of arrival. */
 export function readCredentials(rawHeaders: readonly string[]): Credentials {
     let value: string | undefined;
     for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
@@ -36,12 +36,12 @@
     return token === undefined ? { kind: CredentialKind.Malformed } : { kind: CredentialKind.Token, token };
 }
 
-/** The token of an `Authorization` header's value; the scheme compares without case. */
+/** The token in the value of an `Authorization` header; the scheme is compared case-insensitively. */
 export function tryGetBearerToken(value: string | undefined): string | undefined {
     return BearerPattern.exec(value ?? "")?.[1];
 }
 
-/** The form in which keys are kept and looked up: hexadecimal SHA-256. */
+/** The form in which keys are stored and looked up: hexadecimal SHA-256. */
 export function digestKey(key: string): string {
     return crypto.createHash("sha256").update(key).digest("hex");
 }
--- a/packages/customers/src/customerDirectory.ts
+++ b/packages/customers/src/customerDirectory.ts
@@ -25,13 +25,13 @@
 }
 
 export enum IdentityKind {
-    /** A customer's key. */
+    /** The key of a customer. */
     Customer = "Customer",
-    /** No key, where none is needed. */
+    /** No usable key on a route that doesn't need one. */
     Anonymous = "Anonymous",
-    /** No usable key where one is needed. */
+    /** No usable key on a route that needs one. */
     Unauthorized = "Unauthorized",
-    /** A well-formed key that no customer has: a later configuration may hold it. */
+    /** A well-formed key that no customer has; a later configuration may contain it. */
     UnknownKey = "UnknownKey",
 }
 
@@ -39,10 +39,10 @@
     | { readonly kind: IdentityKind.Customer; readonly customer: types.Customer }
     | { readonly kind: IdentityKind.Anonymous | IdentityKind.Unauthorized | IdentityKind.UnknownKey };
 
-/** Keys that were taken away and are remembered; an older one is looked for like a key that was never seen. */
-const MostRetiredKeys = 10_000;
+/** Number of removed keys that are remembered; an older one is treated like a key that was never seen. */
+const MaximumRetiredKeys = 10_000;
 
-/** The customers of one configuration, and the keys that earlier ones held. */
+/** The customers of one configuration, and the keys of earlier configurations. */
 export class CustomerDirectory {
     private readonly index: KeyIndex<types.Customer>;
     private readonly byName: ReadonlyMap<string, types.Customer>;
@@ -55,7 +55,7 @@
         );
         const retired = previous === undefined ? [] : [...previous.retired, ...previous.index.getDigests()];
         this.retired = new Set(
-            retired.filter(digest => this.index.tryFindDigest(digest) === undefined).slice(-MostRetiredKeys),
+            retired.filter(digest => this.index.tryFindDigest(digest) === undefined).slice(-MaximumRetiredKeys),
         );
     }
 
@@ -63,7 +63,10 @@
         return this.byName.get(name);
     }
 
-    /** Whose request it is. `isPublic`: it needs no key; one that a customer holds counts all the same. */
+    /**
+     * Identifies whose request it is. `isPublic` means that the request needs no key; the key of a customer counts
+     * nevertheless.
+     */
     identify(rawHeaders: readonly string[], isPublic: boolean): Identity {
         const presented = credentials.readCredentials(rawHeaders);
         const withoutKey = isPublic ? IdentityKind.Anonymous : IdentityKind.Unauthorized;
--- a/packages/customers/src/index.ts
+++ b/packages/customers/src/index.ts
@@ -1,4 +1,7 @@
-/** Customers of the fleet: credentials, and limits on how many requests of one customer run. Pure: time and chance are passed in. */
+/**
+ * Customers of the fleet: credentials, and limits on how many requests of one customer run. Pure logic: the current
+ * time and random sources are passed in.
+ */
 export * from "./types.js";
 export * from "./credentials.js";
 export * from "./customerDirectory.js";
--- a/packages/customers/src/quotaLedger.ts
+++ b/packages/customers/src/quotaLedger.ts
@@ -3,55 +3,61 @@
 import * as tokenBucket from "./tokenBucket.js";
 import type * as types from "./types.js";
 
-/** Asks whether a request may run. */
+/** A request for permission to run one request of a customer. */
 export interface QuotaClaim {
     readonly customer: string;
     readonly limit: types.RateLimit;
-    /** Requests of the customer that the asker ran in the last window and that this ledger has not counted. */
+    /** Requests of the customer that the requester ran in the last window and that this ledger hasn't counted. */
     readonly uncounted: number;
-    /** Share of the limit that this ledger may give out; the rest belongs to members that it can't hear. */
+    /** Share of the limit that this ledger may give out; the rest belongs to members that it can't reach. */
     readonly share: number;
-    /** Share of the members whose requests of the last window this ledger can learn of; the others' count was lost. */
+    /**
+     * Share of the members whose requests of the last window this ledger can learn of; the counts of the others are
+     * lost.
+     */
     readonly known: number;
 }
 
 export interface QuotaVerdict {
     readonly isGranted: boolean;
-    /** When to come back, where it was not granted. */
+    /** When to retry, if it was not granted. */
     readonly retryAfterMilliseconds: number;
 }
 
 interface Account {
     readonly openedAt: core.MonotonicMilliseconds;
-    /** Requests that may have run in the window before, and that nobody can report. */
-    readonly lost: number;
+    /** Requests that may have run in the previous window and that no member can report. */
+    readonly lostCount: number;
     readonly window: slidingWindow.SlidingWindow;
     readonly bucket: tokenBucket.TokenBucket;
-    /** The limit that the bucket has. */
+    /** The limit applied to the bucket. */
     limit: types.RateLimit;
-    /** The last refused caller was told to come back then; the next one comes after it. */
-    returnsAt: core.MonotonicMilliseconds;
+    /** When the most recently refused caller was told to retry; the next one is told a later time. */
+    lastRetryAt: core.MonotonicMilliseconds;
 }
 
-/** A caller that comes back later would rather hear at once that it is refused for good. */
+/** Longest retry time; for a caller that would retry later, an immediate final refusal is better. */
 export const LongestRetryMilliseconds = 4_000;
-/** Part of the tolerance that a new keeper relies on; members without a keeper use another. */
-const ToleranceShare = 0.4;
-/** Requests that may come together whatever a customer's burst is: those of a small one do by chance. */
-const SmallestBurst = 20;
+/** Fraction of the tolerance that a new quota owner relies on; members without a quota owner use another fraction. */
+const ToleranceFraction = 0.4;
+/**
+ * Requests that may arrive together, however small the customer's burst is: those of a small customer do so by chance.
+ */
+const MinimumBurst = 20;
 const Granted: QuotaVerdict = { isGranted: true, retryAfterMilliseconds: 0 };
 
 /**
- * Counts the requests of the customers that one member keeps the limits of.
+ * Counts the requests of the customers whose quotas one member owns.
  *
- * Load: a customer sends a few requests a second over hundreds of members, or many times its limit at once. Harm prevented: with the
- * limit split over the members most of them have less than one request to give, and refuse a customer that is far below it. The limit
- * is counted over a window, as it is agreed on; a bucket besides spreads what a customer over its limit may run, which would else run
- * all at once and then nothing for seconds.
+ * A customer may send a few requests per second over hundreds of members, or many times its limit at once. If the limit
+ * were split over the members, most of them would have less than one request to give and would refuse a customer that
+ * is far below its limit. The limit is counted over a window, as agreed with the customer. In addition, a bucket
+ * spreads the requests of a customer that exceeds its limit; otherwise they would all run at once, and then none for
+ * seconds.
  */
 export class QuotaLedger {
     private readonly accounts = new Map<string, Account>();
-    private evictedAt: core.MonotonicMilliseconds = -Infinity;
+    private lastEvictionAt: core.MonotonicMilliseconds = -Infinity;
 
     constructor(private readonly terms: types.QuotaTerms) {}
 
@@ -65,10 +71,10 @@
             account.window.add(1, now);
             return Granted;
         }
-        return { isGranted: false, retryAfterMilliseconds: chooseReturn(account, excess, now) };
+        return { isGranted: false, retryAfterMilliseconds: scheduleRetry(account, excess, now) };
     }
 
-    /** Requests that were granted and that no upstream ran. */
+    /** Returns granted requests that no upstream ran. */
     giveBack(customer: string, count: number): void {
         const account = this.accounts.get(customer);
         account?.window.remove(count);
@@ -80,40 +86,46 @@
         return this.accounts.has(customer);
     }
 
-    /** Customers that had requests in the last window. */
+    /** Number of customers that had requests in the last window. */
     getAccountCount(): number {
         return this.accounts.size;
     }
 
-    /** They ran at some moments of the last window; the more they are, the less of the burst was left. */
+    /**
+     * Counts requests that ran at unknown times in the last window, as of its middle. The more there are, the less of
+     * the burst is assumed to be left.
+     */
     private countReported(account: Account, { uncounted, limit }: QuotaClaim, now: core.MonotonicMilliseconds): void {
         if (uncounted <= 0) {
             return;
         }
         const { windowMilliseconds } = this.terms;
         account.window.add(uncounted, now - windowMilliseconds / 2);
-        const ofRate = (limit.requestsPerSecond * windowMilliseconds) / 1_000;
-        account.bucket.charge(Math.min(1, uncounted / ofRate) * limit.burst);
+        const allowedByRate = (limit.requestsPerSecond * windowMilliseconds) / 1_000;
+        account.bucket.charge(Math.min(1, uncounted / allowedByRate) * limit.burst);
     }
 
-    /** Requests of a window. A limit below one in a window would be none at all. */
+    /** Requests allowed in a window. At least one, because a limit below one would allow none at all. */
     private getAllowed(account: Account, { limit, share }: QuotaClaim, now: core.MonotonicMilliseconds): number {
-        const lost = now - account.openedAt < this.terms.windowMilliseconds ? account.lost : 0;
-        return Math.max(1, getWindowLimit(limit, this.terms) * share - lost);
+        const lostCount = now - account.openedAt < this.terms.windowMilliseconds ? account.lostCount : 0;
+        return Math.max(1, getWindowLimit(limit, this.terms) * share - lostCount);
     }
 
-    /** What was lost with the keeper before is made up for by the terms' tolerance as far as that goes. */
+    /**
+     * Opens an account. The terms' tolerance covers the counts that were lost with the previous quota owner, as far as
+     * it suffices.
+     */
     private open(claim: QuotaClaim, now: core.MonotonicMilliseconds): Account {
-        const whole = getWindowLimit(claim.limit, this.terms);
-        const tolerance = ToleranceShare * (whole * this.terms.overShare + this.terms.slack);
+        const windowLimit = getWindowLimit(claim.limit, this.terms);
+        const tolerance = ToleranceFraction * (windowLimit * this.terms.overShare + this.terms.slack);
         const limit = getBucketLimit(claim);
         const account = {
             openedAt: now,
-            lost: Math.max(0, (1 - claim.known) * whole - tolerance),
+            lostCount: Math.max(0, (1 - claim.known) * windowLimit - tolerance),
             window: new slidingWindow.SlidingWindow(this.terms.windowMilliseconds),
             bucket: new tokenBucket.TokenBucket(limit, now),
             limit,
-            returnsAt: -Infinity,
+            lastRetryAt: -Infinity,
         };
         this.accounts.set(claim.customer, account);
         return account;
@@ -128,10 +140,10 @@
     }
 
     private evictIdle(now: core.MonotonicMilliseconds): void {
-        if (now - this.evictedAt < this.terms.windowMilliseconds) {
+        if (now - this.lastEvictionAt < this.terms.windowMilliseconds) {
             return;
         }
-        this.evictedAt = now;
+        this.lastEvictionAt = now;
         for (const [customer, account] of this.accounts) {
             if (account.window.getCount(now) === 0) {
                 this.accounts.delete(customer);
@@ -140,7 +152,7 @@
     }
 }
 
-/** Requests of a window that a limit allows. */
+/** Requests that a limit allows in a window. */
 export function getWindowLimit(limit: types.RateLimit, terms: types.QuotaTerms): number {
     return (limit.requestsPerSecond * terms.windowMilliseconds) / 1_000 + limit.burst;
 }
@@ -148,16 +160,16 @@
 function getBucketLimit({ limit, share }: QuotaClaim): types.RateLimit {
     return {
         requestsPerSecond: limit.requestsPerSecond * share,
-        burst: Math.max(SmallestBurst, limit.burst * share),
+        burst: Math.max(MinimumBurst, limit.burst * share),
     };
 }
 
-/** Refused callers come back one after the other at the limit's rate, in the order in which they were refused. */
-function chooseReturn(account: Account, excess: number, now: core.MonotonicMilliseconds): number {
+/** Refused callers retry one after the other at the limit's rate, in the order in which they were refused. */
+function scheduleRetry(account: Account, excess: number, now: core.MonotonicMilliseconds): number {
     const { window, bucket, limit } = account;
-    const windowAt = excess > 0 ? window.getMillisecondsUntilGone(Math.ceil(excess), now) : 0;
+    const windowAt = excess > 0 ? window.getMillisecondsUntilExpired(Math.ceil(excess), now) : 0;
     const earliest = now + Math.max(windowAt, bucket.getMillisecondsUntilToken(now));
-    const next = Math.max(earliest, account.returnsAt + 1_000 / limit.requestsPerSecond);
-    account.returnsAt = Math.min(now + LongestRetryMilliseconds, next);
-    return account.returnsAt - now;
+    const next = Math.max(earliest, account.lastRetryAt + 1_000 / limit.requestsPerSecond);
+    account.lastRetryAt = Math.min(now + LongestRetryMilliseconds, next);
+    return account.lastRetryAt - now;
 }
--- a/packages/customers/src/slidingWindow.ts
+++ b/packages/customers/src/slidingWindow.ts
@@ -1,6 +1,8 @@
 import type * as core from "@boragedale/core";
 
-/** Parts of a window that are counted together; the count errs by one part, to the safe side. */
+/**
+ * Number of parts of a window, each counted as a whole: the count is inaccurate by up to one part and is never too low.
+ */
 const PartsInWindow = 50;
 
 interface Part {
@@ -8,7 +10,10 @@
     count: number;
 }
 
-/** Counts events of the last window. Memory grows with the parts of the window that have any, not with the events. */
+/**
+ * Counts the events of the last window. Memory grows with the number of parts that have events, not with the number of
+ * events.
+ */
 export class SlidingWindow {
     private readonly partMilliseconds: number;
     /** Oldest first. */
@@ -27,7 +32,7 @@
         return this.total;
     }
 
-    /** `at`: not long after the last event. */
+    /** Counts events as of `at`, which should not be long after the last of them. */
     add(count: number, at: core.MonotonicMilliseconds): void {
         const index = Math.floor(at / this.partMilliseconds);
         const position = this.parts.findLastIndex(part => part.index <= index);
@@ -41,14 +46,14 @@
         }
     }
 
-    /** Takes back events, the latest first. */
+    /** Removes events, the latest first. */
     remove(count: number): void {
-        let left = Math.min(count, this.total);
-        this.total -= left;
-        while (left > 0) {
+        let remaining = Math.min(count, this.total);
+        this.total -= remaining;
+        while (remaining > 0) {
             const last = this.parts.at(-1);
-            const taken = Math.min(left, last?.count ?? left);
-            left -= taken;
+            const taken = Math.min(remaining, last?.count ?? remaining);
+            remaining -= taken;
             if (last === undefined || last.count === taken) {
                 this.parts.pop();
             }
@@ -58,12 +63,12 @@
         }
     }
 
-    /** Time until so many of the events counted now are out of the window; Infinity where there are fewer. */
-    getMillisecondsUntilGone(count: number, now: core.MonotonicMilliseconds): number {
-        let gone = 0;
+    /** Time until `count` of the events counted now have left the window; Infinity if there are fewer. */
+    getMillisecondsUntilExpired(count: number, now: core.MonotonicMilliseconds): number {
+        let expired = 0;
         for (const part of this.parts) {
-            gone += part.count;
-            if (gone >= count) {
+            expired += part.count;
+            if (expired >= count) {
                 return Math.max(0, (part.index + 1) * this.partMilliseconds + this.windowMilliseconds - now);
             }
         }
--- a/packages/customers/src/tokenBucket.ts
+++ b/packages/customers/src/tokenBucket.ts
@@ -1,10 +1,10 @@
 import type * as core from "@boragedale/core";
 import type * as types from "./types.js";
 
-/** A smaller bucket would never hold the whole token that a request needs. */
-const SmallestCapacity = 1;
+/** A smaller bucket could never hold the whole token that a request needs. */
+const MinimumCapacity = 1;
 
-/** A token bucket that starts at any level; where `updatedAt` lies ahead, it is filled from then on. */
+/** A token bucket with any initial level; if `updatedAt` is in the future, it is filled from that time on. */
 export class TokenBucket {
     constructor(
         private limit: types.RateLimit,
@@ -21,7 +21,7 @@
         return true;
     }
 
-    /** Takes what is there of so many tokens. */
+    /** Removes up to `count` tokens, as many as there are. */
     charge(count: number): void {
         this.level = Math.max(0, this.level - count);
     }
@@ -36,7 +36,7 @@
         this.level = Math.min(this.getCapacity(), this.level);
     }
 
-    /** Time until there is a whole token. */
+    /** Time until a whole token is available. */
     getMillisecondsUntilToken(now: core.MonotonicMilliseconds): number {
         this.update(now);
         return Math.max(0, ((1 - this.level) / this.limit.requestsPerSecond) * 1_000);
@@ -49,6 +49,6 @@
     }
 
     private getCapacity(): number {
-        return Math.max(SmallestCapacity, this.limit.burst);
+        return Math.max(MinimumCapacity, this.limit.burst);
     }
 }
