--- a/packages/decisions/src/upstreamHealth.ts
+++ b/packages/decisions/src/upstreamHealth.ts
@@ -1,7 +1,7 @@
 import type * as core from "@boragedale/core";
 import * as estimates from "./estimates.js";
 
-/** To which extent an upstream is used, given its speed. */
+/** How much an upstream is used, depending on its speed. */
 export enum SpeedState {
     Usual = "Usual",
     /** Receives probes only. */
@@ -45,6 +45,7 @@
 
 /** What this instance has observed of one upstream's speed. */
 class SpeedRecord {
+    /** Times to the first token and between two tokens, in milliseconds. */
     readonly firstToken = new estimates.RecentMinimum(MinimumSampleSeconds);
     readonly gap = new estimates.RecentMinimum(MinimumSampleSeconds);
     /**
