--- a/packages/decisions/src/homeOrder.ts
+++ b/packages/decisions/src/homeOrder.ts
@@ -1,69 +1,79 @@
 import type * as core from "@boragedale/core";
 
-/** What a home told of the places that it lends. */
-interface HomeHint {
+/** The number of free slots that a coordinator reported. */
+interface FreeSlotHint {
     readonly free: number;
     readonly at: core.MonotonicMilliseconds;
 }
 
-/** A home that could be asked. */
-export interface HomeChoice {
+/** A coordinator that could be asked for a slot. */
+export interface CoordinatorCandidate {
     readonly id: core.InstanceId;
     readonly isNear: boolean;
 }
 
 /**
- * A hint is believed for about half of the time that a request holds a place: afterwards as many places have come and gone
- * as the hint counted.
+ * How long a hint is used: about half of the time for which a request holds a slot. After that, as many slots have been
+ * taken and freed as the hint counted.
+ */
+const HintExpiryMilliseconds = 300;
+/**
+ * How long a coordinator that didn't answer is skipped. It is stopped, slow or unreachable, and requests that ask it
+ * wait in vain until it is removed from the instance list.
+ */
+const NoAnswerMilliseconds = 1_000;
+/**
+ * Score of a coordinator without a recent hint: lower than with a hint of free slots, higher than with a hint that
+ * there are none.
  */
-const HintMilliseconds = 300;
-/** A home that didn't answer is stopped, slow or cut off; those that ask it wait for nothing until it is listed as gone. */
-const SilentMilliseconds = 1_000;
-/** A hint of free places beats the lack of one, and that beats a hint that there is none. */
 const UnknownScore = 0.5;
-/** The way to another data centre costs a millisecond or two; a home that may be full costs one more way. */
-const NearScore = 0.2;
-const TieSpread = 0.15;
+/**
+ * Bonus for the same data centre: reaching another one takes a millisecond or two, and a coordinator without a free
+ * slot costs another round trip.
+ */
+const SameDataCentreScore = 0.2;
+const TieBreakSpread = 0.15;
 
 /**
- * In which order homes are asked for a place.
+ * Orders the coordinators that are asked for a slot.
  *
- * Load: a burst at one instance whose own upstreams are full, while others have room. Harm prevented: asking the full
- * homes over and over, and waiting for those that don't answer; each such answer costs the request a way there and back.
+ * A burst may arrive at one instance whose own upstreams are full, while others have free slots. Without an order, full
+ * coordinators would be asked over and over, and requests would wait for coordinators that don't answer; each such
+ * attempt costs the request a round trip.
  */
 export class HomeOrder {
-    private readonly hints = new Map<core.InstanceId, HomeHint>();
-    private readonly silentUntil = new Map<core.InstanceId, core.MonotonicMilliseconds>();
+    private readonly hints = new Map<core.InstanceId, FreeSlotHint>();
+    private readonly skippedUntil = new Map<core.InstanceId, core.MonotonicMilliseconds>();
 
     constructor(private readonly random: () => number) {}
 
-    noteFree(home: core.InstanceId, free: number, now: core.MonotonicMilliseconds): void {
-        this.hints.set(home, { free, at: now });
-        this.silentUntil.delete(home);
+    noteFree(coordinator: core.InstanceId, free: number, now: core.MonotonicMilliseconds): void {
+        this.hints.set(coordinator, { free, at: now });
+        this.skippedUntil.delete(coordinator);
     }
 
-    noteSilent(home: core.InstanceId, now: core.MonotonicMilliseconds): void {
-        this.silentUntil.set(home, now + SilentMilliseconds);
+    noteSilent(coordinator: core.InstanceId, now: core.MonotonicMilliseconds): void {
+        this.skippedUntil.set(coordinator, now + NoAnswerMilliseconds);
     }
 
-    forget(home: core.InstanceId): void {
-        this.hints.delete(home);
-        this.silentUntil.delete(home);
+    forget(coordinator: core.InstanceId): void {
+        this.hints.delete(coordinator);
+        this.skippedUntil.delete(coordinator);
     }
 
-    /** The homes worth asking, best first; those that were silent are left out. */
-    rank(homes: readonly HomeChoice[], now: core.MonotonicMilliseconds): readonly core.InstanceId[] {
-        return homes
-            .filter(home => (this.silentUntil.get(home.id) ?? -Infinity) <= now)
-            .map(home => ({ id: home.id, score: this.score(home, now) }))
+    /** Returns the coordinators worth asking, best first, without those that recently didn't answer. */
+    rank(coordinators: readonly CoordinatorCandidate[], now: core.MonotonicMilliseconds): readonly core.InstanceId[] {
+        return coordinators
+            .filter(coordinator => (this.skippedUntil.get(coordinator.id) ?? -Infinity) <= now)
+            .map(coordinator => ({ id: coordinator.id, score: this.score(coordinator, now) }))
             .sort((left, right) => right.score - left.score)
             .map(({ id }) => id);
     }
 
-    private score(home: HomeChoice, now: core.MonotonicMilliseconds): number {
-        const hint = this.hints.get(home.id);
-        const isFresh = hint !== undefined && now - hint.at <= HintMilliseconds;
+    private score(coordinator: CoordinatorCandidate, now: core.MonotonicMilliseconds): number {
+        const hint = this.hints.get(coordinator.id);
+        const isFresh = hint !== undefined && now - hint.at <= HintExpiryMilliseconds;
         const known = isFresh ? Math.min(1, hint.free) : UnknownScore;
-        return known + (home.isNear ? NearScore : 0) + this.random() * TieSpread;
+        return known + (coordinator.isNear ? SameDataCentreScore : 0) + this.random() * TieBreakSpread;
     }
 }
