--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -4,19 +4,19 @@
 import * as packedForm from "./packedForm.js";
 import * as types from "./types.js";
 
-/** What goes over a connection: a message, and how it belongs to a request. */
+/** The unit sent over a connection: a message and, if it is part of a request, its correlation id. */
 export interface Frame {
-    /** Set on a request and, the same, on its reply. */
+    /** Set on a request and copied to its reply; absent on a notification. */
     readonly correlation?: number;
     readonly isReply?: boolean;
     readonly message: types.Message;
 }
 
-/** How a frame is written; both are read. */
+/** Encoding of a sent frame. Both forms are accepted when decoding. */
 export enum FrameForm {
-    /** With names, as every version reads it. */
+    /** With field names; every version can decode it. */
     Named = "Named",
-    /** Without names, for a peer that says that it reads it. */
+    /** Without field names; only for peers that announced `readsPacked`. */
     Packed = "Packed",
 }
 
@@ -35,8 +35,8 @@
     { readonly ok: true; readonly frame: Frame } | { readonly ok: false; readonly finding: FrameFinding };
 
 /**
- * Largest frame of a lane, in bytes. Control and online frames stay small, so that none delays the next for long; a
- * release note travels in the bulk lane, where the limit is the note's own with room for its parsed form.
+ * Maximum size of a frame on a lane, in bytes. Control and online frames are kept small so that none delays the next one for
+ * long. Release notes use the bulk lane, whose limit covers the largest note together with its parsed form.
  */
 export function getFrameLimit(lane: types.Lane): number {
     switch (lane) {
@@ -80,7 +80,7 @@
     }),
     zod.object({ kind: zod.literal(types.MessageKind.Leaving), instance: name }),
     zod.object({ kind: zod.literal(types.MessageKind.NoteRequest), newerThan: zod.int().min(0) }),
-    // The release package owns the shape of a note and checks it again with its own schema.
+    // The release package defines the schema of a note and validates it again on receipt.
     zod.object({ kind: zod.literal(types.MessageKind.NoteReply), note: zod.custom<core.NoteInForce>().optional() }),
     zod.object({ kind: zod.literal(types.MessageKind.LedgerBegin), shard, payload }),
     zod.object({ kind: zod.literal(types.MessageKind.LedgerBegun), payload }),
@@ -201,7 +201,7 @@
 
 const packer = new msgpackr.Packr({ useRecords: false, encodeUndefinedAsNil: false });
 
-/** Fields of each kind in the order of its schema, in which the packed form has them; new ones go to the end. */
+/** Fields of each kind in schema order, which is their order in the packed form. New fields must be appended. */
 const FieldNames: ReadonlyMap<string, readonly string[]> = new Map(
     MessageSchema.options.map(option => {
         const [kind] = option.shape.kind.values;
@@ -213,24 +213,26 @@
     return FieldNames.get(kind) ?? [];
 }
 
-/** Packs a frame, or tells why its lane can't carry it. */
+/** Encodes a frame, or returns a finding if it exceeds the lane's limit. */
 export function encodeFrame(
     frame: Frame,
     lane: types.Lane,
     form = FrameForm.Named,
 ): { readonly ok: true; readonly bytes: Uint8Array } | { readonly ok: false; readonly finding: FrameFinding } {
     const isPacked = form === FrameForm.Packed;
-    const value = isPacked ? packedForm.packFrame(frame, getPackedFields(frame.message.kind)) : dropUndefined(frame);
+    const value = isPacked
+        ? packedForm.packFrame(frame, getPackedFields(frame.message.kind))
+        : omitUndefinedCorrelation(frame);
     const bytes = packer.pack(value);
     const limit = getFrameLimit(lane);
     if (bytes.byteLength > limit) {
-        const text = `${frame.message.kind} of ${bytes.byteLength} bytes is over the lane's limit of ${limit}`;
+        const text = `${frame.message.kind} of ${bytes.byteLength} bytes exceeds the lane's limit of ${limit}`;
         return { ok: false, finding: { kind: FrameFindingKind.TooLarge, text } };
     }
     return { ok: true, bytes };
 }
 
-/** Reads a frame. Whatever the bytes are, the result is a frame or a finding, never an exception. */
+/** Decodes a frame. Invalid bytes result in a finding, never in an exception. */
 export function decodeFrame(bytes: Uint8Array, lane: types.Lane): DecodedFrame {
     if (bytes.byteLength > getFrameLimit(lane)) {
         return createFailure(FrameFindingKind.TooLarge, `${bytes.byteLength} bytes`);
@@ -253,6 +255,6 @@
     return { ok: false, finding: { kind, text } };
 }
 
-function dropUndefined(frame: Frame): Frame {
+function omitUndefinedCorrelation(frame: Frame): Frame {
     return frame.correlation === undefined ? { message: frame.message } : frame;
 }
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -1,29 +1,29 @@
 import type * as core from "@boragedale/core";
 import type * as websocket from "ws";
 
-/** Most messages that wait to be read; a peer that floods is closed rather than filling the memory. */
-const LongestQueue = 10_000;
+/** Maximum number of unread messages. The connection is closed beyond it, so that a flooding peer can't exhaust memory. */
+const MaxQueuedMessages = 10_000;
 
 /**
- * One WebSocket as a sequence of binary messages, so that the task of a connection reads it in a loop. Disposal ends
- * the socket at once: a silent peer would never answer an orderly close.
+ * A WebSocket as a sequence of binary messages that can be read in a loop. Disposal terminates the socket at once, because
+ * an unresponsive peer would never complete a closing handshake.
  */
 export class Connection implements AsyncDisposable {
     private readonly queue: Uint8Array[] = [];
-    private wake: () => void = () => undefined;
-    private isOver = false;
+    private wakeReader: () => void = () => undefined;
+    private isClosed = false;
     bytesReceived = 0;
     bytesSent = 0;
 
     constructor(private readonly socket: websocket.WebSocket) {
-        socket.on("message", (data, isBinary) => this.accept(data, isBinary));
-        socket.on("close", () => this.finish());
-        // An error is always followed by a close; without a listener it would end the process.
+        socket.on("message", (data, isBinary) => this.enqueue(data, isBinary));
+        socket.on("close", () => this.markClosed());
+        // An error is always followed by a close event. Without a listener it would end the process.
         socket.on("error", () => undefined);
     }
 
     isOpen(): boolean {
-        return !this.isOver && this.socket.readyState === this.socket.OPEN;
+        return !this.isClosed && this.socket.readyState === this.socket.OPEN;
     }
 
     send(bytes: Uint8Array): boolean {
@@ -35,12 +35,12 @@
         return true;
     }
 
-    /** Bytes that the socket has not yet taken. */
-    getBacklog(): number {
+    /** Number of bytes that are queued but not yet written to the network. */
+    getBufferedBytes(): number {
         return this.socket.bufferedAmount;
     }
 
-    /** Waits until the socket is open; false when it closed instead. */
+    /** Waits until the socket is open; returns false if it closed instead. */
     async waitForOpen(): Promise<boolean> {
         if (this.socket.readyState === this.socket.CONNECTING) {
             await new Promise<void>(resolve => {
@@ -51,19 +51,19 @@
         return this.isOpen();
     }
 
-    /** The next message; undefined once the connection is over. */
+    /** Returns the next message, or undefined once the connection is closed. */
     async read(): Promise<Uint8Array | undefined> {
-        while (this.queue.length === 0 && !this.isOver) {
+        while (this.queue.length === 0 && !this.isClosed) {
             await new Promise<void>(resolve => {
-                this.wake = resolve;
+                this.wakeReader = resolve;
             });
         }
         return this.queue.shift();
     }
 
-    /** The next message, or undefined when none came in time. */
+    /** Returns the next message. If none arrives in time, terminates the connection and returns undefined. */
     async readWithin(milliseconds: number, clock: core.Clock): Promise<Uint8Array | undefined> {
-        const stop = clock.schedule(milliseconds, () => this.abandon());
+        const stop = clock.schedule(milliseconds, () => this.terminate());
         try {
             return await this.read();
         }
@@ -72,29 +72,29 @@
         }
     }
 
-    /** Gives the connection up without waiting for the other end. */
-    abandon(): void {
-        this.finish();
+    /** Closes the connection without waiting for the peer. */
+    terminate(): void {
+        this.markClosed();
         this.socket.terminate();
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
-        this.abandon();
+        this.terminate();
     }
 
-    private accept(data: websocket.RawData, isBinary: boolean): void {
-        if (!isBinary || this.queue.length >= LongestQueue || Array.isArray(data)) {
-            this.abandon();
+    private enqueue(data: websocket.RawData, isBinary: boolean): void {
+        if (!isBinary || this.queue.length >= MaxQueuedMessages || Array.isArray(data)) {
+            this.terminate();
             return;
         }
         const bytes = data instanceof ArrayBuffer ? new Uint8Array(data) : data;
         this.bytesReceived += bytes.byteLength;
         this.queue.push(bytes);
-        this.wake();
+        this.wakeReader();
     }
 
-    private finish(): void {
-        this.isOver = true;
-        this.wake();
+    private markClosed(): void {
+        this.isClosed = true;
+        this.wakeReader();
     }
 }
--- a/packages/protocol/src/handshake.ts
+++ b/packages/protocol/src/handshake.ts
@@ -3,11 +3,12 @@
 import * as types from "./types.js";
 
 /**
- * Both ends prove that they know the shared key without sending it. Each proof covers both ends' challenges, so that
- * an overheard one can't be used again, and the side that it was made on, so that it can't be sent back as the answer.
+ * Mutual authentication: both sides prove knowledge of the shared key without sending it. Each proof covers both sides'
+ * challenges, which prevents replays, and the side that created it, so that it can't be reflected back as the other
+ * side's proof.
  */
 
-export enum Side {
+export enum HandshakeSide {
     Client = "Client",
     Server = "Server",
 }
@@ -26,8 +27,8 @@
     return crypto.randomBytes(ChallengeBytes).toString("hex");
 }
 
-/** The proof of the end that `side` names, in hexadecimal. */
-export function createProof(key: string, side: Side, terms: HandshakeTerms): string {
+/** Creates the proof for a side of the handshake, in hexadecimal. */
+export function createProof(key: string, side: HandshakeSide, terms: HandshakeTerms): string {
     const fields = [
         side,
         terms.clientChallenge,
@@ -39,8 +40,13 @@
     return crypto.createHmac("sha256", key).update(JSON.stringify(fields)).digest("hex");
 }
 
-/** Whether one of `keys` made the proof; several are given while keys are rotated. */
-export function isProofValid(keys: readonly string[], side: Side, terms: HandshakeTerms, proof: string): boolean {
+/** Whether the proof was created with one of `keys`. There are several keys during a key rotation. */
+export function isProofValid(
+    keys: readonly string[],
+    side: HandshakeSide,
+    terms: HandshakeTerms,
+    proof: string,
+): boolean {
     const given = Buffer.from(proof, "hex");
     return keys.some(key => {
         const expected = Buffer.from(createProof(key, side, terms), "hex");
@@ -48,7 +54,7 @@
     });
 }
 
-/** Versions that this program speaks: its own and the one before it, for a rolling upgrade. */
-export function isVersionSpoken(version: number): boolean {
+/** Whether this process supports a protocol version: its own or, for rolling upgrades, the previous one. */
+export function isVersionSupported(version: number): boolean {
     return version === types.ProtocolVersion || version === types.ProtocolVersion - 1;
 }
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** The inner protocol: messages, codec, peer links. */
+/** The protocol between instances: messages, codec and peer links. */
 export * from "./types.js";
 export * from "./packedForm.js";
 export * from "./codec.js";
--- a/packages/protocol/src/packedForm.ts
+++ b/packages/protocol/src/packedForm.ts
@@ -1,12 +1,12 @@
 import * as types from "./types.js";
 
 /**
- * The packed form of a frame: an array of the kind's number, the correlation and the message's fields in their order. Names of
- * kinds and fields would be most of a small message, and small messages are most of the traffic between instances.
+ * The packed form of a frame: an array of the kind's number, the correlation id and the message's fields in schema order. The
+ * names of kinds and fields would make up most of a small message, and most messages between instances are small.
  */
 export type PackedFrame = readonly unknown[];
 
-/** Neighbouring versions meet during an upgrade: a number is never given to another kind. */
+/** A number is never reassigned to another kind, because adjacent versions communicate during a rolling upgrade. */
 export const KindNumbers: Readonly<Record<types.MessageKind, number>> = {
     [types.MessageKind.Challenge]: 0,
     [types.MessageKind.Hello]: 1,
@@ -52,19 +52,19 @@
 };
 
 const KindsByNumber = new Map(Object.entries(KindNumbers).map(([kind, number]) => [number, kind]));
-/** Kind and correlation come before the fields. */
-const HeadLength = 2;
-/** Stands for the correlation of a notice, which has none. */
+/** Number of elements before the fields: the kind and the correlation id. */
+const HeaderLength = 2;
+/** Encodes the absence of a correlation id, as in a notification. */
 const NoCorrelation = -1;
 
-/** A frame with its message's fields by name. */
+/** A frame whose message has its fields by name. */
 export interface NamedFrame {
     readonly correlation?: number;
     readonly isReply?: boolean;
     readonly message: Readonly<Record<string, unknown>>;
 }
 
-/** Replies have the complement of their kind's number, which is negative. Absent fields at the end are left out. */
+/** Packs a frame. A reply has the bitwise complement of its kind's number, which is negative. Trailing absent fields are omitted. */
 export function packFrame(
     frame: { readonly correlation?: number; readonly isReply?: boolean; readonly message: types.Message },
     fields: readonly string[],
@@ -82,7 +82,7 @@
     return packed;
 }
 
-/** Undoes `packFrame`; undefined where no kind has the number. What the fields hold is for the schema to check. */
+/** Reverses `packFrame`; returns undefined if no kind has the number. The field values are not checked here but by the schema. */
 export function tryUnpackFrame(
     packed: PackedFrame,
     getFields: (kind: string) => readonly string[],
@@ -98,7 +98,7 @@
     }
     const message: Record<string, unknown> = { kind };
     getFields(kind).forEach((name, index) => {
-        const value = packed[HeadLength + index];
+        const value = packed[HeaderLength + index];
         if (value !== undefined) {
             message[name] = value;
         }
--- a/packages/protocol/src/peerLink.ts
+++ b/packages/protocol/src/peerLink.ts
@@ -3,38 +3,38 @@
 import type * as connections from "./connection.js";
 import * as types from "./types.js";
 
-/** Most bytes that may wait in one lane; beyond it a notice is dropped rather than queued without bound. */
-const LargestBacklogBytes = 33_554_432;
+/** Maximum number of unsent bytes per lane. Beyond it, notifications are dropped so that the queue stays bounded. */
+const MaxBufferedBytes = 33_554_432;
 
 interface PendingRequest {
     readonly finish: (result: types.PeerResult) => void;
 }
 
-/** Handles a message that is not a reply; the result, where there is one, goes back to a request. */
+/** Handles a message that is not a reply. The result, if any, is sent back as the reply to a request. */
 export type Dispatch = (message: types.Message, from: core.InstanceId) => Promise<types.Message | undefined>;
 
-/** What the handshake settled. */
+/** What the two sides agreed on in the handshake. */
 export interface PeerLinkTerms {
     readonly peer: core.InstanceId;
     readonly lane: types.Lane;
-    /** Whether this end opened it; only that end may let it go as idle, since the other can't know its plans. */
+    /** Whether this side opened the link. Only that side may close it as idle, because only it knows whether it needs the link. */
     readonly isDialled: boolean;
-    /** The form that the peer reads. */
+    /** Form of the frames sent to the peer. */
     readonly form: codec.FrameForm;
-    /** Where the peer's face is, for its other lanes; undefined where nobody told. */
+    /** URL of the peer's endpoint, for opening further lanes; undefined if not known. */
     readonly url: string | undefined;
 }
 
-/** One open lane to one peer: requests with their correlation ids, replies, notices. */
+/** An open lane to a peer. Carries requests, replies matched by correlation id, and notifications. */
 export class PeerLink {
     readonly peer: core.InstanceId;
     readonly lane: types.Lane;
-    lastHeard: core.MonotonicMilliseconds;
-    lastUsed: core.MonotonicMilliseconds;
-    lastSent: core.MonotonicMilliseconds;
+    lastReceivedAt: core.MonotonicMilliseconds;
+    lastUsedAt: core.MonotonicMilliseconds;
+    lastSentAt: core.MonotonicMilliseconds;
     private nextCorrelation = 0;
-    /** The peer's last heartbeat as it came: most repeat the one before, and are not decoded again. */
-    private lastBeat: { readonly bytes: Uint8Array; readonly decoded: codec.DecodedFrame } | undefined;
+    /** The last heartbeat received. Most heartbeats repeat the previous one and are not decoded again. */
+    private lastHeartbeat: { readonly bytes: Uint8Array; readonly decoded: codec.DecodedFrame } | undefined;
     private readonly pending = new Map<number, PendingRequest>();
 
     constructor(
@@ -44,14 +44,14 @@
     ) {
         this.peer = terms.peer;
         this.lane = terms.lane;
-        this.lastHeard = clock.now();
-        this.lastUsed = clock.now();
-        this.lastSent = clock.now();
+        this.lastReceivedAt = clock.now();
+        this.lastUsedAt = clock.now();
+        this.lastSentAt = clock.now();
     }
 
     async request(message: types.Message, timeoutMilliseconds: number): Promise<types.PeerResult> {
         const correlation = this.nextCorrelation++;
-        this.lastUsed = this.clock.now();
+        this.lastUsedAt = this.clock.now();
         return new Promise<types.PeerResult>(resolve => {
             const stop = this.clock.schedule(timeoutMilliseconds, () =>
                 finish(createFailure(types.PeerFailureKind.TimedOut, `${this.peer} did not reply in time`)),
@@ -70,32 +70,32 @@
     }
 
     notify(message: types.Message): boolean {
-        this.lastUsed = this.clock.now();
-        return this.beat(message);
+        this.lastUsedAt = this.clock.now();
+        return this.sendWithoutMarkingUse(message);
     }
 
-    /** Sends a notice that was encoded once for many links of the same form. */
+    /** Sends a notification that was encoded once for all links of the same form. */
     notifyEncoded(bytes: Uint8Array): void {
-        this.lastUsed = this.clock.now();
-        this.beatEncoded(bytes);
+        this.lastUsedAt = this.clock.now();
+        this.sendEncodedWithoutMarkingUse(bytes);
     }
 
-    /** The same for what only keeps the link alive, which is no use of it. */
-    beatEncoded(bytes: Uint8Array): void {
-        if (this.connection.getBacklog() < LargestBacklogBytes) {
-            this.lastSent = this.clock.now();
+    /** Sends an encoded message, such as a heartbeat, that doesn't count as use of the link. */
+    sendEncodedWithoutMarkingUse(bytes: Uint8Array): void {
+        if (this.connection.getBufferedBytes() < MaxBufferedBytes) {
+            this.lastSentAt = this.clock.now();
             this.connection.send(bytes);
         }
     }
 
-    /** Sends what only keeps the link alive, which is no use of it. */
-    beat(message: types.Message): boolean {
-        return this.connection.getBacklog() < LargestBacklogBytes && this.send({ message }) === undefined;
+    /** Sends a message, such as a heartbeat, that doesn't count as use of the link. */
+    sendWithoutMarkingUse(message: types.Message): boolean {
+        return this.connection.getBufferedBytes() < MaxBufferedBytes && this.send({ message }) === undefined;
     }
 
     /**
-     * Handles messages until the connection is over. A malformed one ends it: what follows can't be trusted. Resolves to what was
-     * wrong with it, if there was one.
+     * Handles messages until the connection is closed. Stops at a malformed message, because what follows it can't be trusted,
+     * and resolves to the finding.
      */
     async run(dispatch: Dispatch): Promise<codec.FrameFinding | undefined> {
         try {
@@ -108,8 +108,8 @@
                 if (!decoded.ok) {
                     return decoded.finding;
                 }
-                this.lastHeard = this.clock.now();
-                this.take(decoded.frame, dispatch);
+                this.lastReceivedAt = this.clock.now();
+                this.handleFrame(decoded.frame, dispatch);
             }
         }
         finally {
@@ -118,29 +118,29 @@
     }
 
     private decode(bytes: Uint8Array): codec.DecodedFrame {
-        if (this.lastBeat !== undefined && Buffer.compare(this.lastBeat.bytes, bytes) === 0) {
-            return this.lastBeat.decoded;
+        if (this.lastHeartbeat !== undefined && Buffer.compare(this.lastHeartbeat.bytes, bytes) === 0) {
+            return this.lastHeartbeat.decoded;
         }
         const decoded = codec.decodeFrame(bytes, this.lane);
         if (decoded.ok && decoded.frame.message.kind === types.MessageKind.Heartbeat) {
-            this.lastBeat = { bytes, decoded };
+            this.lastHeartbeat = { bytes, decoded };
         }
         return decoded;
     }
 
-    private take(frame: codec.Frame, dispatch: Dispatch): void {
+    private handleFrame(frame: codec.Frame, dispatch: Dispatch): void {
         if (frame.isReply === true) {
-            // A reply that comes after its time-out has no waiter any more and is dropped.
+            // A reply that arrives after its request timed out is dropped.
             this.pending.get(frame.correlation ?? -1)?.finish(toResult(frame.message));
             return;
         }
         if (frame.message.kind !== types.MessageKind.Heartbeat) {
-            this.lastUsed = this.clock.now();
+            this.lastUsedAt = this.clock.now();
         }
-        void this.answer(frame, dispatch);
+        void this.handleAndReply(frame, dispatch);
     }
 
-    private async answer(frame: codec.Frame, dispatch: Dispatch): Promise<void> {
+    private async handleAndReply(frame: codec.Frame, dispatch: Dispatch): Promise<void> {
         const reply = await dispatch(frame.message, this.peer);
         if (frame.correlation === undefined) {
             return;
@@ -157,11 +157,11 @@
         if (!encoded.ok) {
             return encoded.finding.text;
         }
-        this.lastSent = this.clock.now();
+        this.lastSentAt = this.clock.now();
         return this.connection.send(encoded.bytes) ? undefined : `the link to ${this.peer} is closed`;
     }
 
-    /** The requests had left, so the peer may have acted on them: that is a time-out, not "not connected". */
+    /** Fails the pending requests as timed out rather than not connected, because the peer may have acted on them. */
     private failPending(): void {
         for (const request of [...this.pending.values()]) {
             request.finish(createFailure(types.PeerFailureKind.TimedOut, `the link to ${this.peer} was lost`));
--- a/packages/protocol/src/types.ts
+++ b/packages/protocol/src/types.ts
@@ -1,11 +1,11 @@
 import type * as core from "@boragedale/core";
 
-/** Version of the inner protocol; two neighbouring ones may meet during a rolling upgrade. */
+/** Version of the protocol between instances. During a rolling upgrade, peers of two adjacent versions communicate. */
 export const ProtocolVersion = 1;
 
 /**
- * Lanes of a peer link. Each lane is a connection of its own, since within one connection a bulk message would delay
- * the small one behind it.
+ * Lanes of a peer link. Each lane has its own connection, because within one connection a bulk message would delay
+ * the small messages queued behind it.
  */
 export enum Lane {
     Control = "Control",
@@ -57,7 +57,7 @@
     QuotaReturn = "QuotaReturn",
 }
 
-/** First frame of the accepting end: what the other end's proof must cover, so that an old proof is worth nothing. */
+/** First frame sent by the accepting side. The other side's proof must cover the challenge, which prevents replays. */
 export interface Challenge {
     readonly kind: MessageKind.Challenge;
     readonly challenge: string;
@@ -68,31 +68,32 @@
     readonly version: number;
     readonly instance: core.InstanceId;
     readonly lane: Lane;
-    /** What the other end's answer must cover. */
+    /** Challenge that the receiver's proof must cover. */
     readonly challenge: string;
-    /** Proof of the shared key over both ends' challenges, in hexadecimal. */
+    /** HMAC over both sides' challenges that proves knowledge of the shared key, in hexadecimal. */
     readonly proof: string;
-    /** Whether the sender reads frames in the packed form; absent: it doesn't. */
+    /** Whether the sender can decode frames in the packed form; absent means that it can't. */
     readonly readsPacked?: boolean;
-    /** Where peers reach the sender's face, such as `ws://10.0.0.1:7001`; absent: it doesn't know. */
+    /** URL of the sender's peer endpoint, such as `ws://10.0.0.1:7001`; absent if the sender doesn't know it. */
     readonly url?: string;
 }
 
-/** Sent both ways on the control lane; a link without one for three intervals is taken as silent and replaced. */
+/** Sent in both directions on the control lane. A link that receives nothing for three intervals is closed and replaced. */
 export interface Heartbeat {
     readonly kind: MessageKind.Heartbeat;
     readonly generation: core.Generation;
-    /** Of the sender's registry entries, where it keeps any: a 32 bit sum that differs where they do. */
+    /** 32-bit checksum of the sender's registry entries, if it keeps any. Different checksums mean different entries. */
     readonly digest?: number;
-    /** Time-line clock of the sender. */
+    /** Logical time of the sender's time line. */
     readonly logicalTime: number;
-    /** Whether the sender takes new duties. */
+    /** Whether the sender accepts new assignments. */
     readonly state: core.LifeState;
-    /** Whether the sender's registry entries come from watches of the store that are answered. */
+    /** Whether the sender's registry entries come from its own working watches on the store. */
     readonly isWatching?: boolean;
     /**
-     * Revision of the sender's configuration, and the highest one of its upstreams' entries with a 32 bit sum over these. Members
-     * come and go all the time in a large fleet, so that the revision of all entries is hardly ever the same at both ends.
+     * Revision of the sender's configuration, the highest revision among its upstream entries, and a 32-bit checksum of these
+     * entries. The revision over all entries can't be compared instead: in a large fleet, members join and leave so often that
+     * it rarely matches on both sides.
      */
     readonly configurationRevision?: number;
     readonly upstreamsRevision?: number;
@@ -114,7 +115,7 @@
     readonly note?: core.NoteInForce;
 }
 
-/** Opaque to the protocol: the work package encodes its own records. */
+/** The payloads of ledger messages are opaque to the protocol; the work package encodes them. */
 export interface LedgerBegin {
     readonly kind: MessageKind.LedgerBegin;
     readonly shard: number;
@@ -148,38 +149,38 @@
     readonly job: string;
 }
 
-/** An instance tells an upstream's home how much online work it has there; the home makes room. */
+/** Reports the sender's online load on an upstream to its coordinator, which frees slots for it. */
 export interface OnlinePressure {
     readonly kind: MessageKind.OnlinePressure;
     readonly upstream: core.UpstreamId;
     readonly inFlight: number;
     readonly queued: number;
-    /** Shortest time between two tokens that the sender saw there in the last second, in milliseconds. */
+    /** Shortest interval between two tokens that the sender observed on the upstream in the last second, in milliseconds. */
     readonly fastestGap?: number;
 }
 
-/** The home's answer to `OnlinePressure`: what it knows of the upstream. */
+/** The coordinator's reply to `OnlinePressure`: the state of the upstream. */
 export interface OnlineTotal {
     readonly kind: MessageKind.OnlineTotal;
     readonly upstream: core.UpstreamId;
-    /** Online requests there, over all instances. */
+    /** Online requests in flight on the upstream, summed over all instances. */
     readonly inFlight: number;
-    /** The upstream says itself that it takes no new work. */
+    /** Whether the upstream itself reports that it accepts no new work. */
     readonly isLeaving: boolean;
-    /** Shortest time between two tokens that anybody saw there in the last second, in milliseconds. */
+    /** Shortest interval between two tokens that any instance observed in the last second, in milliseconds. */
     readonly fastestGap?: number;
 }
 
-/** A request that was in flight when an upstream died. */
+/** Reports a request that was in flight when an upstream crashed. */
 export interface SuspectReport {
     readonly kind: MessageKind.SuspectReport;
     readonly fingerprint: string;
     readonly deaths: number;
-    /** Deaths on each upstream; merging takes the higher count of each, so that a repeated report adds nothing. */
+    /** Crashes per upstream. Merging takes the higher count of each upstream, so a repeated report changes nothing. */
     readonly deathsByUpstream?: Readonly<Record<core.UpstreamId, number>>;
 }
 
-/** Asks a peer that has seen later changes for the entries after a revision. */
+/** Requests the registry entries after a revision from a peer that has seen later changes. */
 export interface RegistryRequest {
     readonly kind: MessageKind.RegistryRequest;
     readonly revision: number;
@@ -188,41 +189,41 @@
 export interface RegistryEntry {
     readonly key: string;
     readonly revision: number;
-    /** Absent: the key was removed at the revision. */
+    /** Absent if the key was removed at this revision. */
     readonly value?: Uint8Array;
     /** Whether the value is compressed (raw deflate). */
     readonly isDeflated?: boolean;
 }
 
-/** Entries of the metadata store that the sender has seen; the highest revision of a key wins. */
+/** Entries of the metadata store that the sender has seen. For each key, the entry with the highest revision wins. */
 export interface RegistryEntries {
     readonly kind: MessageKind.RegistryEntries;
-    /** All that the store had, not only what is news. */
+    /** Whether the entries are a full listing of the store rather than changes only. */
     readonly isWhole: boolean;
     readonly entries: readonly RegistryEntry[];
-    /** Revision up to which keys that aren't among the entries don't exist. */
+    /** Keys missing from the entries don't exist as of this revision. */
     readonly settled?: number;
 }
 
-/** Requests that the sender has on upstreams; each line replaces the one before it. */
+/** Numbers of requests that the sender has on upstreams. Each element replaces the previous numbers for its upstream. */
 export interface SlotUses {
     readonly kind: MessageKind.SlotUses;
-    /** Upstreams that aren't listed have none. */
+    /** Whether the sender has no requests on the upstreams that aren't listed. */
     readonly isWhole: boolean;
     readonly uses: readonly (readonly [upstream: core.UpstreamId, online: number, batch: number])[];
 }
 
-/** An online request needs a place that the receiver's batch work holds on the upstream. */
+/** Asks the receiver to release a slot that its batch work holds on the upstream, because an online request needs it. */
 export interface YieldSlot {
     readonly kind: MessageKind.YieldSlot;
     readonly upstream: core.UpstreamId;
 }
 
-/** Asks the home of an upstream whether a batch item may start there. */
+/** Asks the coordinator of an upstream whether a batch item may start there. */
 export interface BatchStart {
     readonly kind: MessageKind.BatchStart;
     readonly upstream: core.UpstreamId;
-    /** Places of the upstream, and those of them that stay free for online work. */
+    /** Total slots of the upstream, and how many of them are reserved for online work. */
     readonly slots: number;
     readonly reserve: number;
 }
@@ -232,25 +233,25 @@
     readonly isGranted: boolean;
 }
 
-/** Asks a home for a place of one of its engines for an online request. */
+/** Asks a coordinator for a slot on one of its engines for an online request. */
 export interface SlotRequest {
     readonly kind: MessageKind.SlotRequest;
     readonly service: string;
-    /** Engines that the sender would not use; mostly absent, and every byte goes with each request. */
+    /** Engines that the sender excludes. Usually absent: one of these messages is sent per request, so size matters. */
     readonly except?: readonly core.UpstreamId[];
 }
 
 export interface SlotReply {
     readonly kind: MessageKind.SlotReply;
-    /** Absent: the receiver is home of none of them. */
+    /** Absent if the receiver coordinates none of the service's engines. */
     readonly upstream?: core.UpstreamId;
-    /** Requests that wait there; 0: the place is the sender's, and counted as such. */
+    /** Requests that wait for a slot there. 0 means that the slot is granted to the requester and counted as in use. */
     readonly waiting: number;
-    /** Places that online requests could still have of the receiver. */
+    /** Slots that the receiver could still grant to online requests. */
     readonly free: number;
 }
 
-/** Asks a home for a place for a batch item; answered when one comes free, or after a bounded wait without one. */
+/** Asks a coordinator for a slot for a batch item. The reply comes when a slot is free or a bounded wait has passed. */
 export interface BatchSlotRequest {
     readonly kind: MessageKind.BatchSlotRequest;
     readonly service: string;
@@ -258,17 +259,17 @@
 
 export interface BatchSlotReply {
     readonly kind: MessageKind.BatchSlotReply;
-    /** Absent: none came free. */
+    /** Absent if no slot became free. */
     readonly upstream?: core.UpstreamId;
 }
 
-/** The sender runs the submission, which is durable. */
+/** States that the sender runs the submission and that the submission is durable. */
 export interface SubmissionOwned {
     readonly kind: MessageKind.SubmissionOwned;
     readonly submission: string;
 }
 
-/** Asks the owner for results from a position on. */
+/** Asks the owner of a submission for its results, starting at a position. */
 export interface SubmissionRead {
     readonly kind: MessageKind.SubmissionRead;
     readonly submission: string;
@@ -283,7 +284,7 @@
     readonly results: readonly { readonly id: string; readonly state: string; readonly text: string }[];
 }
 
-/** Asks the owner for the body of an item that is not listed. */
+/** Asks the owner of a submission for the body of an item that is not listed. */
 export interface SubmissionItemRead {
     readonly kind: MessageKind.SubmissionItemRead;
     readonly submission: string;
@@ -292,11 +293,11 @@
 
 export interface SubmissionItemBody {
     readonly kind: MessageKind.SubmissionItemBody;
-    /** Absent: the submission has no such item, or has ended. */
+    /** Absent if the submission has no such item or has ended. */
     readonly body?: Uint8Array;
 }
 
-/** Asks the owner to end a submission; answered once that is durable. */
+/** Asks the owner to end a submission. The reply is sent once the end is durable. */
 export interface SubmissionEnd {
     readonly kind: MessageKind.SubmissionEnd;
     readonly submission: string;
@@ -306,65 +307,65 @@
     readonly kind: MessageKind.SubmissionEnded;
 }
 
-/** The sender leaves; the receiver takes the submission over at once, and goes on where the items stand. */
+/** Sent by an instance that is leaving. The receiver takes over the submission at once and resumes its items. */
 export interface SubmissionHandover {
     readonly kind: MessageKind.SubmissionHandover;
     readonly submission: string;
-    /** Items that have begun: index, id of the last event, data of the events so far. */
+    /** For each started item: its index, the id of its last event, and the data of its events so far. */
     readonly progress: readonly (readonly [item: number, lastEventId: number, texts: readonly string[]])[];
 }
 
-/** The sender can't reach the store: the receiver may keep the submission and run it. */
+/** Sent by an instance that can't reach the store. Asks the receiver to store the submission and run it. */
 export interface SubmissionForward {
     readonly kind: MessageKind.SubmissionForward;
     readonly submission: string;
     readonly host: string;
     readonly target: string;
-    /** Packed by the gateway. */
+    /** Items as packed by the gateway. */
     readonly items: Uint8Array;
     readonly waitMilliseconds: number;
-    /** Absent: its route needed no key, or no customers are configured. */
+    /** Absent if the route requires no key or no customers are configured. */
     readonly customer?: string;
 }
 
-/** The submission is durable. */
+/** Reply to `SubmissionForward`: the submission is durable. */
 export interface SubmissionKept {
     readonly kind: MessageKind.SubmissionKept;
 }
 
-/** The submission could not be kept in time. */
+/** Reply to `SubmissionForward`: the submission could not be stored in time. */
 export interface SubmissionNotKept {
     readonly kind: MessageKind.SubmissionNotKept;
-    /** Whether it is certain that it will not be kept either: a write without an answer may be carried out late. */
+    /** Whether the submission certainly won't be stored later: a write without a response may still be carried out. */
     readonly isCertain: boolean;
 }
 
-/** Asks the keeper of a customer's limit whether a request of the customer may run. */
+/** Asks the owner of a customer's quota whether a request of the customer may run. */
 export interface QuotaClaim {
     readonly kind: MessageKind.QuotaClaim;
     readonly customer: string;
-    /** The limit as the sender knows it. */
+    /** The customer's limit as configured at the sender. */
     readonly requestsPerSecond: number;
     readonly burst: number;
-    /** Requests of the customer that the sender ran in the last window and that the receiver has not counted. */
+    /** Requests of the customer that the sender ran in the last window without the receiver counting them. */
     readonly uncounted: number;
 }
 
 export interface QuotaReply {
     readonly kind: MessageKind.QuotaReply;
     readonly isGranted: boolean;
-    /** When the caller may come back, where it was not granted. */
+    /** If the claim was not granted, the time after which the caller may retry. */
     readonly retryAfterMilliseconds: number;
 }
 
-/** Requests that the receiver granted and that no upstream ran. */
+/** Returns requests that the receiver granted but that no upstream ran. */
 export interface QuotaReturn {
     readonly kind: MessageKind.QuotaReturn;
     readonly customer: string;
     readonly count: number;
 }
 
-/** The peer could not serve a request; `text` says why. */
+/** Reply of a peer that could not serve a request; `text` gives the reason. */
 export interface Refused {
     readonly kind: MessageKind.Refused;
     readonly text: string;
@@ -416,11 +417,11 @@
 export type MessageOf<K extends MessageKind> = Extract<Message, { readonly kind: K }>;
 
 export enum PeerFailureKind {
-    /** There is no open link: nothing was sent. */
+    /** There is no open link; nothing was sent. */
     NotConnected = "NotConnected",
-    /** No reply within the time given: the peer may have acted. */
+    /** No reply arrived before the timeout; the peer may have acted on the request. */
     TimedOut = "TimedOut",
-    /** The peer answered that it can't. */
+    /** The peer replied that it can't serve the request. */
     Refused = "Refused",
 }
 
@@ -438,36 +439,39 @@
     from: core.InstanceId,
 ) => Promise<Message | undefined>;
 
-/** The links to the peers whose duties this instance uses. */
+/** Sends messages to peers and dispatches the messages that they send. */
 export abstract class PeerNetwork {
-    /** Sends a message and waits for the reply that carries its correlation id. */
+    /** Sends a message and waits for the reply with the same correlation id. */
     abstract request(peer: core.InstanceId, message: Message, options: RequestOptions): Promise<PeerResult>;
     /**
-     * Sends without waiting; false where no link is open. A notice may be lost: state must not rest on it. One of the bulk lane, which
-     * is closed when idle, is sent when the lane has been opened for it.
+     * Sends a notification without waiting for a reply; returns false if no link is open. A notification may be lost, so no state
+     * may depend on its delivery. The bulk lane is closed when idle; a notification on it is sent once the lane is open.
      */
     abstract notify(peer: core.InstanceId, message: Message, lane: Lane): boolean;
-    /** Sends a notice to every linked peer; packed once. */
+    /** Sends a notification to every connected peer, encoding it once per frame form. */
     abstract notifyAll(message: Message, lane: Lane): void;
-    /** Registers the one handler of a kind of message. */
+    /** Registers the handler for a message kind; there is one per kind. */
     abstract handle<K extends MessageKind>(kind: K, handler: MessageHandler<K>): void;
     /** Peers with an open link. */
     abstract getConnectedPeers(): readonly core.InstanceId[];
-    /** Peers whose link went silent without being closed, as across a cut: they may be at work out of reach. */
+    /** Peers whose link went silent without being closed, as in a network partition; they may still be running. */
     abstract getSilentPeers(): readonly core.InstanceId[];
 }
 
-/** Who is in the fleet, and who holds which duty. Soft state: a duty is never safe only because of it. */
+/**
+ * The members of the fleet and the holders of assignments. This is soft state: two instances may disagree for a while, so it
+ * alone never guarantees that an assignment has a single holder.
+ */
 export abstract class Membership {
     abstract getSelf(): core.InstanceId;
-    /** Live instances as far as known here, this one included while it is live. */
+    /** The instances known to be live, including this one while it is live. */
     abstract getLiveInstances(): readonly core.InstanceDescription[];
-    /** The holder of a duty such as `ledger/17`, by rendezvous hashing over the live instances. */
-    abstract tryGetHolder(duty: string): core.InstanceId | undefined;
-    /** The holder among the instances of one data centre, or of the fleet where it has none. */
-    abstract tryGetHolderIn(dataCentre: core.DataCentre, duty: string): core.InstanceId | undefined;
-    /** Whether the instance is known to be gone (absent from the list and silent), not only slow. */
+    /** The holder of an assignment such as `ledger/17`, by rendezvous hashing over the live instances. */
+    abstract tryGetHolder(assignment: string): core.InstanceId | undefined;
+    /** The holder among the live instances of a data centre, or among all live instances if the data centre has none. */
+    abstract tryGetHolderIn(dataCentre: core.DataCentre, assignment: string): core.InstanceId | undefined;
+    /** Whether the instance is known to have been removed (not listed and silent), as opposed to being slow. */
     abstract isGone(instance: core.InstanceId): boolean;
-    /** Calls `listener` when the set of live instances changes; the returned function stops it. */
+    /** Calls `listener` when the set of live instances changes. The returned function unsubscribes it. */
     abstract onChange(listener: () => void): () => void;
 }
--- a/packages/protocol/src/webSocketPeerNetwork.ts
+++ b/packages/protocol/src/webSocketPeerNetwork.ts
@@ -9,26 +9,26 @@
 import * as peerLinks from "./peerLink.js";
 import * as types from "./types.js";
 
-/** Where a peer's face is. */
+/** The id and endpoint of a peer. */
 export interface PeerAddress {
     readonly id: core.InstanceId;
     /** Such as `ws://127.0.0.1:7001`. */
     readonly url: string;
 }
 
-export interface PeerNetworkOptions extends introductions.IntroducerOptions {
-    /** Where the peer face listens. Peers are told it, unless it stands for every address of the machine. */
+export interface PeerNetworkOptions extends introductions.LinkHandshakerOptions {
+    /** Host that the peer endpoint listens on. It is announced to peers unless it is a wildcard address. */
     readonly host: string;
-    /** 0 lets the system choose. */
+    /** Port that the peer endpoint listens on; with 0 the system chooses one. */
     readonly port: number;
-    /** Peers to keep linked all the time: a bounded number of neighbours. */
+    /** Peers to stay connected to, a bounded number. */
     readonly getNeighbours: () => readonly PeerAddress[];
-    /** URLs of peers whose ids aren't known yet; dialled while no peer is linked. */
+    /** URLs of peers whose ids aren't known yet; dialled while no peer is connected. */
     readonly getSeeds?: () => readonly string[];
-    /** Address of any peer, for links that are opened when they are needed. */
+    /** Returns the address of any peer, for links that are opened on demand. */
     readonly tryGetAddress: (peer: core.InstanceId) => PeerAddress | undefined;
     readonly createHeartbeat: () => types.Heartbeat;
-    /** Called when a peer could not be reached or went silent. */
+    /** Called when a peer can't be reached or has gone silent. */
     readonly onUnreachable?: (peer: core.InstanceId) => void;
     readonly heartbeatMilliseconds?: number;
     readonly idleMilliseconds?: number;
@@ -36,34 +36,34 @@
 
 type AnyHandler = (message: types.Message, from: core.InstanceId) => Promise<types.Message | undefined>;
 
-const HeartbeatMilliseconds = 1_000;
-/** A link in use that nobody needs any more costs heartbeats; one that is needed every few seconds stays. */
-const IdleMilliseconds = 20_000;
-/** Silent intervals after which a link is given up: one lost packet or a pause for garbage costs less than that. */
-const SilentIntervals = 3;
-/** Silent intervals after which a peer counts as out of reach, though its link is kept: one heartbeat is missing. */
-const UnheardIntervals = 1.8;
-/** A peer that was given up as silent is gone from the fleet by then, or linked again. */
-const SilencedMilliseconds = 10_000;
-const OpenMilliseconds = 1_500;
-/** Hosts that stand for every address of the machine. */
+const HeartbeatIntervalMilliseconds = 1_000;
+/** An idle link still costs heartbeats. The timeout is long enough that a link used every few seconds stays open. */
+const IdleTimeoutMilliseconds = 20_000;
+/** Number of silent heartbeat intervals after which a link is closed. One lost packet or a garbage collection pause takes less. */
+const SilentIntervalsUntilClosed = 3;
+/** Number of silent heartbeat intervals after which a peer counts as silent while its link stays open: one heartbeat is missing. */
+const SilentIntervalsUntilReported = 1.8;
+/** How long a peer counts as silent after its link was closed. By then it has left the fleet or is connected again. */
+const SilentPeerRetentionMilliseconds = 10_000;
+const ConnectTimeoutMilliseconds = 1_500;
+/** Hosts that bind to every address of the machine. */
 const WildcardHosts: ReadonlySet<string> = new Set(["", "0.0.0.0", "::"]);
 
 /**
- * Links over WebSocket, one connection a lane and peer. Every connection has one task, written straight down:
- * handshake, register, read until it is over, clean up. Neighbours stay linked; other peers are dialled when a
- * message for them comes up and let go when idle, so that a fleet of hundreds is not a full mesh.
+ * A peer network over WebSocket, with one connection per peer and lane. Each connection has one task: perform the handshake,
+ * register the link, read until the connection is closed, clean up. Neighbours stay connected. Other peers are dialled when
+ * there is a message for them and disconnected when idle, so that a fleet of hundreds of instances is not a full mesh.
  */
 export class WebSocketPeerNetwork extends types.PeerNetwork implements AsyncDisposable {
     private readonly handlers = new Map<types.MessageKind, AnyHandler>();
     private readonly links = new Map<string, peerLinks.PeerLink[]>();
-    /** Peers whose links were given up as silent, and when. */
-    private readonly silenced = new Map<core.InstanceId, core.MonotonicMilliseconds>();
-    private readonly dials = new Map<string, Promise<peerLinks.PeerLink | undefined>>();
+    /** Peers whose links were closed because they went silent, and when. */
+    private readonly closedSilentPeers = new Map<core.InstanceId, core.MonotonicMilliseconds>();
+    private readonly pendingDials = new Map<string, Promise<peerLinks.PeerLink | undefined>>();
     private readonly tasks = new Set<Promise<void>>();
-    private readonly open = new Set<connections.Connection>();
-    private readonly introducer: introductions.Introducer;
-    private readonly stopper = new AbortController();
+    private readonly openConnections = new Set<connections.Connection>();
+    private readonly handshaker: introductions.LinkHandshaker;
+    private readonly stopController = new AbortController();
     private closedBytesSent = 0;
     private closedBytesReceived = 0;
 
@@ -73,10 +73,10 @@
         private readonly server: websocket.WebSocketServer,
     ) {
         super();
-        this.introducer = new introductions.Introducer(options, () => this.tryGetOwnUrl());
+        this.handshaker = new introductions.LinkHandshaker(options, () => this.tryGetOwnUrl());
     }
 
-    /** Listens on the peer face and starts linking. */
+    /** Listens on the peer endpoint and starts connecting to peers. */
     static async start(options: PeerNetworkOptions): Promise<WebSocketPeerNetwork> {
         const httpServer = http.createServer((request, response) => {
             request.resume();
@@ -98,14 +98,14 @@
         return network;
     }
 
-    /** Port of the peer face. */
+    /** Port of the peer endpoint. */
     getPort(): number {
         return (this.httpServer.address() as net.AddressInfo).port;
     }
 
-    /** Payload bytes that all links have carried. */
+    /** Payload bytes sent and received over all connections, including closed ones. */
     getTraffic(): { readonly sent: number; readonly received: number } {
-        const live = [...this.open];
+        const live = [...this.openConnections];
         return {
             sent: this.closedBytesSent + live.reduce((sum, connection) => sum + connection.bytesSent, 0),
             received: this.closedBytesReceived + live.reduce((sum, connection) => sum + connection.bytesReceived, 0),
@@ -128,7 +128,7 @@
     override notify(peer: core.InstanceId, message: types.Message, lane: types.Lane): boolean {
         const link = this.tryGetLink(peer, lane);
         if (link === undefined) {
-            void this.openFor(message, peer, lane);
+            void this.openLaneFor(message, peer, lane);
             return false;
         }
         return link.notify(message);
@@ -136,7 +136,7 @@
 
     override notifyAll(message: types.Message, lane: types.Lane): void {
         const links = this.getConnectedPeers().flatMap(peer => this.tryGetLink(peer, lane) ?? []);
-        encodeOnce(links, message, lane).forEach(({ link, bytes }) => link.notifyEncoded(bytes));
+        encodePerForm(links, message, lane).forEach(({ link, bytes }) => link.notifyEncoded(bytes));
     }
 
     override handle<K extends types.MessageKind>(kind: K, handler: types.MessageHandler<K>): void {
@@ -150,20 +150,21 @@
 
     override getSilentPeers(): readonly core.InstanceId[] {
         const now = this.options.clock.now();
-        const limit = UnheardIntervals * (this.options.heartbeatMilliseconds ?? HeartbeatMilliseconds);
-        const unheard = this.getConnectedPeers().filter(peer => {
+        const limit =
+            SilentIntervalsUntilReported * (this.options.heartbeatMilliseconds ?? HeartbeatIntervalMilliseconds);
+        const silentConnected = this.getConnectedPeers().filter(peer => {
             const link = this.tryGetLink(peer, types.Lane.Control);
-            return link !== undefined && now - link.lastHeard > limit;
+            return link !== undefined && now - link.lastReceivedAt > limit;
         });
-        for (const [peer, at] of this.silenced) {
-            if (now - at > SilencedMilliseconds) {
-                this.silenced.delete(peer);
+        for (const [peer, at] of this.closedSilentPeers) {
+            if (now - at > SilentPeerRetentionMilliseconds) {
+                this.closedSilentPeers.delete(peer);
             }
         }
-        return [...new Set([...unheard, ...this.silenced.keys()])];
+        return [...new Set([...silentConnected, ...this.closedSilentPeers.keys()])];
     }
 
-    /** Tells every linked peer that this instance leaves. */
+    /** Notifies every connected peer that this instance is leaving. */
     announceLeaving(): void {
         const message: types.Leaving = { kind: types.MessageKind.Leaving, instance: this.options.instance };
         for (const peer of this.getConnectedPeers()) {
@@ -172,45 +173,45 @@
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
-        this.stopper.abort();
-        for (const connection of this.open) {
-            connection.abandon();
+        this.stopController.abort();
+        for (const connection of this.openConnections) {
+            connection.terminate();
         }
         this.server.close();
         await new Promise<void>(resolve => this.httpServer.close(() => resolve()));
         await Promise.allSettled([...this.tasks]);
     }
 
-    /** The task of a connection that a peer opened. */
+    /** Runs a connection that a peer opened. */
     private async serve(connection: connections.Connection): Promise<void> {
         await using owned = connection;
-        this.open.add(owned);
+        this.openConnections.add(owned);
         try {
-            const link = await this.introducer.accept(owned);
+            const link = await this.handshaker.acceptPeer(owned);
             if (link !== undefined) {
                 await this.runLink(link);
             }
         }
         finally {
-            this.forget(owned);
+            this.removeConnection(owned);
         }
     }
 
-    /** The task of a connection that this instance opens; `onLinked` learns the link, if there is one. */
+    /** Opens a connection and runs it. Calls `onLinked` with the link if the handshake succeeds. */
     private async connect(
         address: introductions.DialAddress,
         lane: types.Lane,
         onLinked: (link: peerLinks.PeerLink) => void,
     ): Promise<void> {
         const socket = new websocket.WebSocket(address.url, {
-            handshakeTimeout: OpenMilliseconds,
+            handshakeTimeout: ConnectTimeoutMilliseconds,
             maxPayload: codec.getFrameLimit(lane),
             perMessageDeflate: false,
         });
         await using connection = new connections.Connection(socket);
-        this.open.add(connection);
+        this.openConnections.add(connection);
         try {
-            const link = await this.introducer.introduce(connection, address, lane);
+            const link = await this.handshaker.connectToPeer(connection, address, lane);
             if (link === undefined) {
                 if (address.id !== undefined) {
                     this.options.onUnreachable?.(address.id);
@@ -220,17 +221,17 @@
             await this.runLink(link, () => onLinked(link));
         }
         finally {
-            this.forget(connection);
+            this.removeConnection(connection);
         }
     }
 
     private async runLink(link: peerLinks.PeerLink, onRegistered?: () => void): Promise<void> {
         const key = getLinkKey(link.peer, link.lane);
         this.links.set(key, [...(this.links.get(key) ?? []), link]);
-        this.silenced.delete(link.peer);
+        this.closedSilentPeers.delete(link.peer);
         this.options.telemetry.record(telemetry.events.PeerConnected, { text: `${link.peer} ${link.lane}` });
         if (link.lane === types.Lane.Control) {
-            link.beat(this.options.createHeartbeat());
+            link.sendWithoutMarkingUse(this.options.createHeartbeat());
         }
         onRegistered?.();
         const finding = await link.run((message, from) => this.dispatch(message, from));
@@ -266,15 +267,18 @@
         return this.links.get(getLinkKey(peer, lane))?.findLast(link => link.connection.isOpen());
     }
 
-    /** Opens a lane for a notice. Small ones are hints that are repeated, and an old one would say less than the next. */
-    private async openFor(message: types.Message, peer: core.InstanceId, lane: types.Lane): Promise<void> {
-        const link = await this.dial(peer, lane, this.options.clock.now() + OpenMilliseconds);
+    /**
+     * Opens a lane for a notification that found none open, and sends the notification if the lane is the bulk lane. Small
+     * notifications are sent repeatedly anyway, and the next one carries newer information.
+     */
+    private async openLaneFor(message: types.Message, peer: core.InstanceId, lane: types.Lane): Promise<void> {
+        const link = await this.dial(peer, lane, this.options.clock.now() + ConnectTimeoutMilliseconds);
         if (lane === types.Lane.Bulk) {
             link?.notify(message);
         }
     }
 
-    /** The address of a peer that has a link of another lane: a peer may be linked before this instance hears of its entry. */
+    /** The address of a peer according to its open links. A peer may connect before its registry entry is known here. */
     private tryGetLinkedAddress(peer: core.InstanceId): PeerAddress | undefined {
         const links = Object.values(types.Lane).flatMap(lane => this.tryGetLink(peer, lane) ?? []);
         const url = links.find(link => link.terms.url !== undefined)?.terms.url;
@@ -289,7 +293,7 @@
         return `ws://${net.isIPv6(host) ? `[${host}]` : host}:${this.getPort()}`;
     }
 
-    /** Opens a link, once for all who ask at the same time. */
+    /** Opens a link. Concurrent calls for the same peer and lane share one attempt. */
     private async dial(
         peer: core.InstanceId,
         lane: types.Lane,
@@ -297,16 +301,16 @@
     ): Promise<peerLinks.PeerLink | undefined> {
         const key = getLinkKey(peer, lane);
         const address = this.options.tryGetAddress(peer) ?? this.tryGetLinkedAddress(peer);
-        if (address === undefined || peer === this.options.instance || this.stopper.signal.aborted) {
+        if (address === undefined || peer === this.options.instance || this.stopController.signal.aborted) {
             return undefined;
         }
-        const dial = this.dials.get(key) ?? this.startDial(address, lane, key);
+        const dial = this.pendingDials.get(key) ?? this.startDial(address, lane, key);
         return this.waitUntil(deadline, dial);
     }
 
-    /** An instance that starts while the platform is away finds the others by these. */
+    /** Dials the seeds, by which an instance that starts while the platform is unavailable finds its peers. */
     private dialSeeds(): void {
-        if (this.links.size > 0 || this.dials.size > 0) {
+        if (this.links.size > 0 || this.pendingDials.size > 0) {
             return;
         }
         for (const url of this.options.getSeeds?.() ?? []) {
@@ -321,8 +325,8 @@
     ): Promise<peerLinks.PeerLink | undefined> {
         const dial = new Promise<peerLinks.PeerLink | undefined>(resolve => {
             this.track(this.connect(address, lane, resolve).finally(() => resolve(undefined)));
-        }).finally(() => this.dials.delete(key));
-        this.dials.set(key, dial);
+        }).finally(() => this.pendingDials.delete(key));
+        this.pendingDials.set(key, dial);
         return dial;
     }
 
@@ -334,10 +338,10 @@
         return result;
     }
 
-    /** One round an interval: link the neighbours, beat, give up what is silent, let go what is idle. */
+    /** In each interval, connects to the neighbours, sends heartbeats, and closes silent and idle links. */
     private async runHeartbeats(): Promise<void> {
-        const interval = this.options.heartbeatMilliseconds ?? HeartbeatMilliseconds;
-        const signal = this.stopper.signal;
+        const interval = this.options.heartbeatMilliseconds ?? HeartbeatIntervalMilliseconds;
+        const signal = this.stopController.signal;
         while (!signal.aborted) {
             const neighbours = this.options.getNeighbours();
             for (const peer of neighbours) {
@@ -346,37 +350,44 @@
                 }
             }
             this.dialSeeds();
-            const kept = new Set(neighbours.map(peer => peer.id));
-            const due = [...this.links.values()].flat().filter(link => this.tend(link, interval, kept));
+            const neighbourIds = new Set(neighbours.map(peer => peer.id));
+            const due = [...this.links.values()].flat().filter(link => this.maintainLink(link, interval, neighbourIds));
             const heartbeat = this.options.createHeartbeat();
-            encodeOnce(due, heartbeat, types.Lane.Control).forEach(({ link, bytes }) => link.beatEncoded(bytes));
+            encodePerForm(due, heartbeat, types.Lane.Control).forEach(({ link, bytes }) =>
+                link.sendEncodedWithoutMarkingUse(bytes),
+            );
             await this.options.clock.sleep(interval, signal);
         }
     }
 
     /**
-     * Every lane carries something each interval: something between the ends may lose track of one connection while others
-     * work, and only traffic in that very connection shows it. The control lane always beats, since its heartbeats tell
-     * what the sender knows; the others only where nothing else was sent. Returns whether a heartbeat is due.
+     * Closes the link if it is silent or idle; otherwise returns whether a heartbeat is due. Every lane carries traffic in each
+     * interval, because a network device can drop the state of one connection while others keep working, and only traffic on
+     * that connection reveals it. The control lane always sends heartbeats, since they carry the sender's state; the other
+     * lanes send them only when nothing else was sent.
      */
-    private tend(link: peerLinks.PeerLink, interval: number, kept: ReadonlySet<core.InstanceId>): boolean {
+    private maintainLink(
+        link: peerLinks.PeerLink,
+        interval: number,
+        neighbourIds: ReadonlySet<core.InstanceId>,
+    ): boolean {
         const now = this.options.clock.now();
-        if (now - link.lastHeard > SilentIntervals * interval) {
-            link.connection.abandon();
-            this.silenced.set(link.peer, now);
+        if (now - link.lastReceivedAt > SilentIntervalsUntilClosed * interval) {
+            link.connection.terminate();
+            this.closedSilentPeers.set(link.peer, now);
             this.options.onUnreachable?.(link.peer);
             return false;
         }
-        const isKept = !link.terms.isDialled || (kept.has(link.peer) && link.lane === types.Lane.Control);
-        if (!isKept && now - link.lastUsed > (this.options.idleMilliseconds ?? IdleMilliseconds)) {
-            link.connection.abandon();
+        const isKept = !link.terms.isDialled || (neighbourIds.has(link.peer) && link.lane === types.Lane.Control);
+        if (!isKept && now - link.lastUsedAt > (this.options.idleMilliseconds ?? IdleTimeoutMilliseconds)) {
+            link.connection.terminate();
             return false;
         }
-        return link.lane === types.Lane.Control || now - link.lastSent >= interval;
+        return link.lane === types.Lane.Control || now - link.lastSentAt >= interval;
     }
 
-    private forget(connection: connections.Connection): void {
-        this.open.delete(connection);
+    private removeConnection(connection: connections.Connection): void {
+        this.openConnections.delete(connection);
         this.closedBytesSent += connection.bytesSent;
         this.closedBytesReceived += connection.bytesReceived;
     }
@@ -395,15 +406,15 @@
     return `${lane}/${peer}`;
 }
 
-/** A message for many links, encoded once for all links of a form. */
-function encodeOnce(
+/** Encodes a message once per frame form and pairs the bytes with the links that use the form. */
+function encodePerForm(
     links: readonly peerLinks.PeerLink[],
     message: types.Message,
     lane: types.Lane,
 ): readonly { readonly link: peerLinks.PeerLink; readonly bytes: Uint8Array }[] {
     return Object.values(codec.FrameForm).flatMap(form => {
-        const readers = links.filter(link => link.terms.form === form);
-        const encoded = readers.length === 0 ? undefined : codec.encodeFrame({ message }, lane, form);
-        return encoded?.ok === true ? readers.map(link => ({ link, bytes: encoded.bytes })) : [];
+        const matchingLinks = links.filter(link => link.terms.form === form);
+        const encoded = matchingLinks.length === 0 ? undefined : codec.encodeFrame({ message }, lane, form);
+        return encoded?.ok === true ? matchingLinks.map(link => ({ link, bytes: encoded.bytes })) : [];
     });
 }
