--- a/packages/daemon/src/composition.ts
+++ b/packages/daemon/src/composition.ts
@@ -9,34 +9,35 @@
 import * as peerTelemetry from "./peerTelemetry.js";
 import * as settingsReader from "./settings.js";
 
-/** Whether the process takes part; all parts look at the same one. */
-export interface LifeStatus {
+/** Lifecycle flags of the process, shared by all components. */
+export interface LifecycleStatus {
+    /** Whether the process is shutting down. */
     isStopping: boolean;
 }
 
-/** Every part of a gateway process, by the name under which the container knows it. */
-export interface Parts {
-    /** As they were at the start: names and faces. */
+/** The components of a gateway process, by their registration names in the container. */
+export interface Components {
+    /** The settings at startup, for names and addresses, which can't change while the process runs. */
     readonly settings: settingsReader.Settings;
     readonly getSettings: () => settingsReader.Settings;
     readonly clock: core.Clock;
     readonly log: eventLog.EventLog;
-    readonly life: LifeStatus;
+    readonly lifecycle: LifecycleStatus;
     readonly wire: gateway.CallerWire;
     readonly codec: gateway.RegistryCodec;
     readonly platformStore: platform.PlatformStore;
-    /** The platform's store with its calls counted. */
+    /** The platform's store, wrapped to count calls. */
     readonly store: gateway.MetadataStore;
     readonly view: gateway.FleetView;
     readonly storeReturn: gateway.StoreReturn;
     readonly network: protocol.WebSocketPeerNetwork;
     readonly members: gateway.MemberDirectory;
-    readonly homes: gateway.HomeDirectory;
+    readonly coordinators: gateway.HomeDirectory;
     readonly slots: gateway.SlotSharing;
-    readonly quotaKeepers: gateway.QuotaKeepers;
+    readonly quotaOwners: gateway.QuotaKeepers;
     readonly quotas: gateway.CustomerQuotas;
     readonly channels: gateway.ChannelDirectory;
-    readonly crashes: gateway.CrashWatch;
+    readonly crashWatch: gateway.CrashWatch;
     readonly registration: gateway.Registration;
     readonly scheduler: gateway.ItemScheduler;
     readonly submissions: gateway.SubmissionService;
@@ -45,48 +46,48 @@
     readonly registry: gateway.FleetRegistry;
 }
 
-/** Time for an answer of the store; it takes milliseconds, and some hundred when it is slow. */
+/** Timeout of a store call. A call takes a few milliseconds, or some hundred milliseconds when the store is slow. */
 export const StoreTimeoutMilliseconds = 1_000;
 
-/** Makes the parts; `owned` gives them back in reverse. The peer network listens when this resolves. */
-export async function createParts(
-    given: Pick<Parts, "settings" | "getSettings" | "clock" | "log">,
-    owned: core.DisposalStack,
-): Promise<Parts> {
-    const container = awilix.createContainer<Parts>({ strict: true });
+/** Creates the components and registers them for disposal. The peer network is listening when this resolves. */
+export async function createComponents(
+    given: Pick<Components, "settings" | "getSettings" | "clock" | "log">,
+    disposables: core.DisposalStack,
+): Promise<Components> {
+    const container = awilix.createContainer<Components>({ strict: true });
     container.register({
         settings: awilix.asValue(given.settings),
         getSettings: awilix.asValue(given.getSettings),
         clock: awilix.asValue(given.clock),
         log: awilix.asValue(given.log),
-        life: awilix.asValue({ isStopping: false }),
+        lifecycle: awilix.asValue({ isStopping: false }),
         wire: awilix.asFunction(() => new platform.PlatformCallerWire()).singleton(),
         codec: awilix.asFunction(() => new platform.PlatformRegistryCodec()).singleton(),
         platformStore: awilix.asFunction(createPlatformStore).singleton(),
         store: awilix.asFunction(createStore).singleton(),
         view: awilix.asFunction(createView).singleton(),
         storeReturn: awilix
-            .asFunction(({ view, clock, log }: Parts) => new gateway.StoreReturn(view, clock, log))
+            .asFunction(({ view, clock, log }: Components) => new gateway.StoreReturn(view, clock, log))
             .singleton(),
-        homes: awilix
-            .asFunction(({ members, view, clock }: Parts) => new gateway.HomeDirectory(members, view, clock))
+        coordinators: awilix
+            .asFunction(({ members, view, clock }: Components) => new gateway.HomeDirectory(members, view, clock))
             .singleton(),
         slots: awilix.asFunction(createSlots).singleton(),
-        quotaKeepers: awilix.asFunction(({ members }: Parts) => new gateway.QuotaKeepers(members)).singleton(),
+        quotaOwners: awilix.asFunction(({ members }: Components) => new gateway.QuotaKeepers(members)).singleton(),
         quotas: awilix.asFunction(createQuotas).singleton(),
-        channels: awilix.asFunction(({ clock }: Parts) => new gateway.ChannelDirectory(clock)).singleton(),
-        crashes: awilix
-            .asFunction(({ network, clock, log }: Parts) => new gateway.CrashWatch(network, clock, log))
+        channels: awilix.asFunction(({ clock }: Components) => new gateway.ChannelDirectory(clock)).singleton(),
+        crashWatch: awilix
+            .asFunction(({ network, clock, log }: Components) => new gateway.CrashWatch(network, clock, log))
             .singleton(),
         registration: awilix.asFunction(createRegistration).singleton(),
         scheduler: awilix.asFunction(createScheduler).singleton(),
         submissions: awilix.asFunction(createSubmissions).singleton(),
         forwarder: awilix
             .asFunction(
-                (parts: Parts) =>
+                (components: Components) =>
                     new gateway.RequestForwarder({
-                        ...pickShared(parts),
-                        crashes: parts.crashes,
+                        ...pickSchedulerParts(components),
+                        crashes: components.crashWatch,
                         random: Math.random,
                     }),
             )
@@ -94,75 +95,81 @@
         server: awilix.asFunction(createServer).singleton(),
         registry: awilix.asFunction(createRegistry).singleton(),
     });
-    const parts = container.cradle;
-    owned.use(parts.platformStore);
-    await startNetwork(container, owned);
-    owned.use(parts.slots);
-    owned.use(parts.channels);
-    owned.use(parts.registration);
-    owned.use(parts.submissions);
-    owned.use(parts.server);
-    owned.use(parts.registry);
-    parts.registry.watchers.forEach(watcher => parts.storeReturn.follow(watcher));
-    return parts;
+    const components = container.cradle;
+    disposables.use(components.platformStore);
+    await startNetwork(container, disposables);
+    disposables.use(components.slots);
+    disposables.use(components.channels);
+    disposables.use(components.registration);
+    disposables.use(components.submissions);
+    disposables.use(components.server);
+    disposables.use(components.registry);
+    components.registry.watchers.forEach(watcher => components.storeReturn.follow(watcher));
+    return components;
 }
 
-/** Listens for peers first: the member's entry tells the port, which the system may have chosen. */
-async function startNetwork(container: awilix.AwilixContainer<Parts>, owned: core.DisposalStack): Promise<void> {
-    const parts = container.cradle;
-    const { settings, getSettings, clock, log, view, life } = parts;
-    const face = settingsReader.getFace(settings.peerAddress, "peerAddress");
+/** Starts the peer network before the member directory, because the member's entry contains the port, which the system may choose. */
+async function startNetwork(
+    container: awilix.AwilixContainer<Components>,
+    disposables: core.DisposalStack,
+): Promise<void> {
+    const components = container.cradle;
+    const { settings, getSettings, clock, log, view, lifecycle } = components;
+    const address = settingsReader.getRequiredAddress(settings.peerAddress, "peerAddress");
     const id = gateway.createMemberId(settings.instance, gateway.createNonce().slice(0, 8));
-    const late: { members?: gateway.MemberDirectory; registry?: gateway.FleetRegistry } = {};
+    const lateBound: { members?: gateway.MemberDirectory; registry?: gateway.FleetRegistry } = {};
     const network = await protocol.WebSocketPeerNetwork.start({
         instance: id,
         keys: [settings.peerKey],
         clock,
         telemetry: new peerTelemetry.PeerTelemetry(id, clock, log),
-        host: face.host,
-        port: face.port,
+        host: address.host,
+        port: address.port,
         getNeighbours: () =>
-            late.members === undefined ? [] : peers.chooseNeighbours(late.members, getHubs(parts, late.registry)),
+            lateBound.members === undefined
+                ? []
+                : peers.chooseNeighbours(lateBound.members, getHubs(components, lateBound.registry)),
         getSeeds: () => {
             const seeds = getSettings().peerSeeds.filter(seed => seed !== settings.peerAddress);
             return seeds.map(seed => `ws://${seed}`);
         },
-        tryGetAddress: peer => (late.members === undefined ? undefined : peers.tryGetAddress(late.members, peer)),
+        tryGetAddress: peer =>
+            lateBound.members === undefined ? undefined : peers.tryGetAddress(lateBound.members, peer),
         createHeartbeat: () => ({
             kind: protocol.MessageKind.Heartbeat,
-            ...gateway.describeRegistry(view, late.registry?.isWatching() === true, clock.now()),
+            ...gateway.describeRegistry(view, lateBound.registry?.isWatching() === true, clock.now()),
             logicalTime: 0,
-            state: life.isStopping ? core.LifeState.Leaving : core.LifeState.Live,
+            state: lifecycle.isStopping ? core.LifeState.Leaving : core.LifeState.Live,
         }),
     });
-    owned.use(network);
+    disposables.use(network);
     const members = new gateway.MemberDirectory({
         id,
         dataCentre: settings.dataCentre,
-        peerAddress: `${face.host}:${network.getPort()}`,
+        peerAddress: `${address.host}:${network.getPort()}`,
     });
-    late.members = members;
+    lateBound.members = members;
     container.register({ network: awilix.asValue(network), members: awilix.asValue(members) });
-    late.registry = parts.registry;
+    lateBound.registry = components.registry;
 }
 
-/** Members that every other one, or every one of their data centre, stays linked to. */
-function getHubs(parts: Parts, registry: gateway.FleetRegistry | undefined): readonly core.InstanceId[] {
+/** Members that all other members, or all others of their data centre, stay connected to. */
+function getHubs(components: Components, registry: gateway.FleetRegistry | undefined): readonly core.InstanceId[] {
     if (registry === undefined) {
         return [];
     }
-    const hasLimits = parts.view.getConfiguration()?.customers?.some(customer => customer.limit !== undefined);
-    return [...registry.duty.getWatchers(), ...(hasLimits === true ? parts.quotaKeepers.getAll() : [])];
+    const hasLimits = components.view.getConfiguration()?.customers?.some(customer => customer.limit !== undefined);
+    return [...registry.duty.getWatchers(), ...(hasLimits === true ? components.quotaOwners.getAll() : [])];
 }
 
-function createPlatformStore({ settings }: Parts): platform.PlatformStore {
+function createPlatformStore({ settings }: Components): platform.PlatformStore {
     return new platform.PlatformStore({
         address: settings.storeAddress,
         callTimeoutMilliseconds: StoreTimeoutMilliseconds,
     });
 }
 
-function createStore({ platformStore, clock, log, storeReturn }: Parts): gateway.MetadataStore {
+function createStore({ platformStore, clock, log, storeReturn }: Components): gateway.MetadataStore {
     let answeredAt = clock.now();
     log.metrics.observeGauge("boragedale_store_silent_seconds", {}, () => (clock.now() - answeredAt) / 1_000);
     return new gateway.CountedStore(
@@ -182,7 +189,7 @@
     );
 }
 
-function createView({ codec, log }: Parts): gateway.FleetView {
+function createView({ codec, log }: Components): gateway.FleetView {
     return new gateway.FleetView(codec, findings =>
         findings.forEach(finding =>
             log.note(gateway.GatewayEvent.EntryUnusable, { text: core.formatFinding(finding) }),
@@ -190,26 +197,34 @@
     );
 }
 
-function createSlots({ members, network, clock, homes, settings, log }: Parts): gateway.SlotSharing {
+function createSlots({ members, network, clock, coordinators, settings, log }: Components): gateway.SlotSharing {
     const self = members.self.id;
-    const board = new decisions.SlotBoard(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
+    const slotTable = new decisions.SlotBoard(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
     const slots = new gateway.SlotSharing({
-        board,
+        board: slotTable,
         network,
         clock,
-        homes,
+        homes: coordinators,
         dataCentre: settings.dataCentre,
         random: Math.random,
-        onHomeSilent: (home, text) => log.note(gateway.GatewayEvent.HomeSilent, { home, text }),
+        onHomeSilent: (coordinator, text) => log.note(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
     });
-    members.onChange(gone => slots.forget(gone));
+    members.onChange(removedMembers => slots.forget(removedMembers));
     return slots;
 }
 
-function createQuotas({ members, quotaKeepers, network, view, clock, settings, log }: Parts): gateway.CustomerQuotas {
+function createQuotas({
+    members,
+    quotaOwners,
+    network,
+    view,
+    clock,
+    settings,
+    log,
+}: Components): gateway.CustomerQuotas {
     const quotas = new gateway.CustomerQuotas({
         self: members.self.id,
-        keepers: quotaKeepers,
+        keepers: quotaOwners,
         network,
         getCustomers: () => view.getCustomers(),
         clock,
@@ -224,16 +239,16 @@
     return quotas;
 }
 
-function createRegistration({ store, members, clock, log }: Parts): gateway.Registration {
+function createRegistration({ store, members, clock, log }: Components): gateway.Registration {
     return new gateway.Registration(store, members, clock, log);
 }
 
-function createScheduler(parts: Parts): gateway.ItemScheduler {
-    return new gateway.ItemScheduler(pickShared(parts));
+function createScheduler(components: Components): gateway.ItemScheduler {
+    return new gateway.ItemScheduler(pickSchedulerParts(components));
 }
 
-function createSubmissions(parts: Parts): gateway.SubmissionService {
-    const { store, members, registration, network, scheduler, clock, log, settings, slots } = parts;
+function createSubmissions(components: Components): gateway.SubmissionService {
+    const { store, members, registration, network, scheduler, clock, log, settings, slots } = components;
     slots.connect(
         upstream => scheduler.yieldPlace(upstream),
         () => scheduler.dispatch(),
@@ -251,9 +266,9 @@
     });
 }
 
-function createServer(parts: Parts): gateway.CallerServer {
-    const { wire, view, forwarder, submissions, quotas, registry, clock, log, life } = parts;
-    const isReady = (): boolean => view.getConfiguration() !== undefined && !life.isStopping;
+function createServer(components: Components): gateway.CallerServer {
+    const { wire, view, forwarder, submissions, quotas, registry, clock, log, lifecycle } = components;
+    const isReady = (): boolean => view.getConfiguration() !== undefined && !lifecycle.isStopping;
     const identity = new gateway.CallerIdentity({
         view,
         refreshConfiguration: () => registry.refreshConfiguration(),
@@ -261,8 +276,8 @@
     return new gateway.CallerServer({ wire, view, forwarder, submissions, identity, quotas, clock, log, isReady });
 }
 
-function createRegistry(parts: Parts): gateway.FleetRegistry {
-    const { store, clock, log, codec, view, members, network, registration, submissions } = parts;
+function createRegistry(components: Components): gateway.FleetRegistry {
+    const { store, clock, log, codec, view, members, network, registration, submissions } = components;
     const registry = new gateway.FleetRegistry({
         store,
         clock,
@@ -279,7 +294,7 @@
     return registry;
 }
 
-function pickShared(parts: Parts): gateway.SchedulerParts {
-    const { wire, view, channels, slots, clock, log, settings } = parts;
+function pickSchedulerParts(components: Components): gateway.SchedulerParts {
+    const { wire, view, channels, slots, clock, log, settings } = components;
     return { wire, view, channels, slots, clock, log, dataCentre: settings.dataCentre };
 }
--- a/packages/daemon/src/eventLog.ts
+++ b/packages/daemon/src/eventLog.ts
@@ -4,13 +4,13 @@
 import bunyan from "bunyan";
 import sonicBoom from "sonic-boom";
 
-/** Lines that wait for a reader of standard output that has stopped reading; beyond it they are dropped and counted. */
-const LargestBacklogBytes = 1_048_576;
-/** Lines are written together up to this many bytes: a system call each would cost more than the lines. */
-const WriteBytes = 8_192;
-const FlushMilliseconds = 250;
-/** Lines of one event a second; a burst beyond it is counted and told in one line. */
-const LinesPerSecond = 200;
+/** Maximum bytes buffered while standard output is not being read. Further lines are dropped and counted. */
+const MaxBufferedBytes = 1_048_576;
+/** Lines are buffered up to this size, because a system call for each line would cost more than creating it. */
+const MinWriteBytes = 8_192;
+const FlushIntervalMilliseconds = 250;
+/** Maximum lines per event and second. Further lines are counted and reported in a single line. */
+const MaxLinesPerSecond = 200;
 
 const GatewayEvents: Readonly<Record<gateway.GatewayEvent, telemetry.events.EventDefinition>> = {
     [gateway.GatewayEvent.StoreLost]: telemetry.events.StoreLost,
@@ -42,18 +42,21 @@
     [gateway.GatewayEvent.Defect]: telemetry.events.InternalDefect,
 };
 
-interface Quota {
+interface LineCount {
     second: number;
     written: number;
     suppressed: number;
 }
 
-/** Numbered, structured lines on standard output, off the event loop and bounded, and the counters that go with them. */
+/**
+ * Writes numbered, structured log lines to standard output and counts the events in the metrics. Writes are asynchronous, and
+ * both the buffer and the rate of lines are bounded.
+ */
 export class EventLog extends gateway.GatewayLog implements AsyncDisposable {
     readonly metrics = new telemetry.Metrics();
     private readonly destination: sonicBoom.SonicBoom;
     private readonly logger: bunyan | undefined;
-    private readonly quotas = new Map<string, Quota>();
+    private readonly lineCounts = new Map<string, LineCount>();
     private readonly flushTimer: NodeJS.Timeout;
     private dropped = 0;
 
@@ -66,12 +69,12 @@
         this.destination = new sonicBoom.SonicBoom({
             fd: 1,
             sync: false,
-            minLength: WriteBytes,
-            maxLength: LargestBacklogBytes,
+            minLength: MinWriteBytes,
+            maxLength: MaxBufferedBytes,
         });
         this.destination.on("drop", () => this.dropped++);
         this.destination.on("error", () => this.dropped++);
-        this.flushTimer = setInterval(() => this.destination.flush(), FlushMilliseconds);
+        this.flushTimer = setInterval(() => this.destination.flush(), FlushIntervalMilliseconds);
         this.flushTimer.unref();
         this.logger =
             level === "silent"
@@ -86,7 +89,7 @@
 
     record(definition: telemetry.events.EventDefinition, fields: gateway.LogFields): void {
         this.metrics.count("boragedale_events_total", { event: definition.name });
-        if (this.takeQuota(definition)) {
+        if (this.countLine(definition)) {
             this.logger?.[definition.level]({ event: definition.number, ...fields }, definition.name);
         }
     }
@@ -158,8 +161,8 @@
         this.record(GatewayEvents[event], fields);
     }
 
-    /** The settings file was read again. */
-    noteReload(changed: readonly string[], findings: readonly core.Finding[]): void {
+    /** Records that the settings file was read again. */
+    recordReload(changed: readonly string[], findings: readonly core.Finding[]): void {
         this.record(telemetry.events.SettingsReloaded, {
             changed: changed.join(","),
             findings: findings.map(finding => core.formatFinding(finding)).join("; "),
@@ -175,22 +178,22 @@
         });
     }
 
-    private takeQuota(definition: telemetry.events.EventDefinition): boolean {
+    private countLine(definition: telemetry.events.EventDefinition): boolean {
         const second = Math.floor(this.clock.now() / 1_000);
-        const quota = this.quotas.get(definition.name) ?? { second, written: 0, suppressed: 0 };
-        this.quotas.set(definition.name, quota);
-        if (quota.second !== second) {
-            if (quota.suppressed > 0) {
+        const lineCount = this.lineCounts.get(definition.name) ?? { second, written: 0, suppressed: 0 };
+        this.lineCounts.set(definition.name, lineCount);
+        if (lineCount.second !== second) {
+            if (lineCount.suppressed > 0) {
                 const fields = { event: telemetry.events.LinesSuppressed.number, of: definition.number };
-                this.logger?.warn({ ...fields, count: quota.suppressed, dropped: this.dropped }, "LinesSuppressed");
+                this.logger?.warn({ ...fields, count: lineCount.suppressed, dropped: this.dropped }, "LinesSuppressed");
             }
-            quota.second = second;
-            quota.written = 0;
-            quota.suppressed = 0;
+            lineCount.second = second;
+            lineCount.written = 0;
+            lineCount.suppressed = 0;
         }
-        quota.written++;
-        if (quota.written > LinesPerSecond) {
-            quota.suppressed++;
+        lineCount.written++;
+        if (lineCount.written > MaxLinesPerSecond) {
+            lineCount.suppressed++;
             return false;
         }
         return true;
--- a/packages/daemon/src/gatewayProcess.ts
+++ b/packages/daemon/src/gatewayProcess.ts
@@ -6,13 +6,13 @@
 import type * as eventLog from "./eventLog.js";
 import * as settingsReader from "./settings.js";
 
-/** After the balancer has stopped sending, this much longer, for requests that are on their way. */
-const LastRequestsMilliseconds = 1_000;
-/** What is not over so long before the kill ends with the process. */
+/** Minimum time that the process keeps serving after the load balancer has stopped sending, for requests in transit. */
+const InTransitRequestMilliseconds = 1_000;
+/** Time before the kill at which the process exits, ending the requests that are still in progress. */
 const StopMarginMilliseconds = 400;
-const StopLookMilliseconds = 50;
+const StopPollMilliseconds = 50;
 
-/** Where a running gateway listens; the ports may have been chosen by the system. */
+/** Addresses that a running gateway listens on, with the actual ports where the system chose them. */
 export interface GatewayAddresses {
     readonly caller: string;
     readonly readiness: string;
@@ -21,41 +21,44 @@
 }
 
 export interface GatewayOptions {
-    /** As they are now: some are read again while the process runs. */
+    /** Returns the current settings. Some of them may change while the process runs. */
     readonly getSettings: () => settingsReader.Settings;
     readonly clock: core.Clock;
     readonly log: eventLog.EventLog;
-    /** Resolves when the process shall stop. */
+    /** Resolves when the process is to stop. */
     readonly stop: Promise<void>;
     readonly onStarted?: (addresses: GatewayAddresses) => void;
 }
 
-/** The process on the machines that callers reach: runs until it is told to stop and the last request has ended. */
+/** Runs the process that serves callers until `stop` resolves and the last request has ended or the grace period is over. */
 export async function runGatewayProcess(options: GatewayOptions): Promise<void> {
     const { getSettings, clock, log } = options;
-    await using owned = new core.DisposalStack();
-    const parts = await composition.createParts({ settings: getSettings(), getSettings, clock, log }, owned);
-    const isReady = (): boolean => parts.view.getConfiguration() !== undefined && !parts.life.isStopping;
-    const addresses = await listenOnFaces(parts, isReady, owned);
-    void parts.registry.run();
-    parts.registration.start(parts.registry.whenListed);
-    void parts.slots.run();
-    void parts.submissions.run();
-    observeGauges(parts);
-    log.record(telemetry.events.InstanceStarted, { member: parts.members.self.id, address: addresses.caller });
+    await using disposables = new core.DisposalStack();
+    const components = await composition.createComponents(
+        { settings: getSettings(), getSettings, clock, log },
+        disposables,
+    );
+    const isReady = (): boolean => components.view.getConfiguration() !== undefined && !components.lifecycle.isStopping;
+    const addresses = await listenOnEndpoints(components, isReady, disposables);
+    void components.registry.run();
+    components.registration.start(components.registry.whenListed);
+    void components.slots.run();
+    void components.submissions.run();
+    observeGauges(components);
+    log.record(telemetry.events.InstanceStarted, { member: components.members.self.id, address: addresses.caller });
     options.onStarted?.(addresses);
     await options.stop;
-    await stopGracefully(parts);
+    await stopGracefully(components);
 }
 
-async function listenOnFaces(
-    parts: composition.Parts,
+async function listenOnEndpoints(
+    components: composition.Components,
     isReady: () => boolean,
-    owned: core.DisposalStack,
+    disposables: core.DisposalStack,
 ): Promise<GatewayAddresses> {
-    const { settings, log } = parts;
-    const callerFace = settingsReader.getFace(settings.callerAddress, "callerAddress");
-    await parts.server.listen(callerFace.host, callerFace.port);
+    const { settings, log } = components;
+    const callerAddress = settingsReader.getRequiredAddress(settings.callerAddress, "callerAddress");
+    await components.server.listen(callerAddress.host, callerAddress.port);
     const readiness = http.createServer((request, response) => {
         request.resume();
         response.writeHead(isReady() ? 200 : 503, { "Content-Length": 0 }).end();
@@ -64,28 +67,28 @@
         request.resume();
         response.writeHead(200, { "Content-Type": "text/plain; version=0.0.4" }).end(log.metrics.format());
     });
-    const readinessFace = settingsReader.getFace(settings.readinessAddress, "readinessAddress");
+    const readinessAddress = settingsReader.getRequiredAddress(settings.readinessAddress, "readinessAddress");
     return {
-        caller: formatAddress(parts.server.server),
-        readiness: await listen(readiness, readinessFace, owned),
+        caller: formatAddress(components.server.server),
+        readiness: await listen(readiness, readinessAddress, disposables),
         metrics:
             settings.metricsAddress === undefined
                 ? undefined
-                : await listen(metrics, settingsReader.splitAddress(settings.metricsAddress), owned),
-        peer: parts.members.self.peerAddress,
+                : await listen(metrics, settingsReader.splitAddress(settings.metricsAddress), disposables),
+        peer: components.members.self.peerAddress,
     };
 }
 
 async function listen(
     server: http.Server,
-    face: { readonly host: string; readonly port: number },
-    owned: core.DisposalStack,
+    address: { readonly host: string; readonly port: number },
+    disposables: core.DisposalStack,
 ): Promise<string> {
     await new Promise<void>((resolve, reject) => {
         server.once("error", reject);
-        server.listen(face.port, face.host, resolve);
+        server.listen(address.port, address.host, resolve);
     });
-    owned.defer(() => {
+    disposables.defer(() => {
         server.close();
         server.closeAllConnections();
     });
@@ -97,8 +100,8 @@
     return `${address.address}:${address.port}`;
 }
 
-/** What the process believes, read when the metrics are. */
-function observeGauges({ log, view, members, server, submissions }: composition.Parts): void {
+/** Registers gauges of the process's state, which are evaluated when the metrics are read. */
+function observeGauges({ log, view, members, server, submissions }: composition.Components): void {
     const gauges: Readonly<Record<string, () => number>> = {
         boragedale_configuration_version: () => view.getConfiguration()?.version ?? 0,
         boragedale_store_revision: () => view.getRevision(),
@@ -110,26 +113,30 @@
     Object.entries(gauges).forEach(([name, read]) => log.metrics.observeGauge(name, {}, read));
 }
 
-/** Answers on while the balancer still sends, then until the last request has ended or the time is up. */
-async function stopGracefully(parts: composition.Parts): Promise<void> {
-    const { clock, log, server, scheduler, network, submissions } = parts;
-    const settings = parts.getSettings();
+/** Serves requests while the load balancer still sends them, then until the last one has ended or the grace period is over. */
+async function stopGracefully(components: composition.Components): Promise<void> {
+    const { clock, log, server, scheduler, network, submissions } = components;
+    const settings = components.getSettings();
     const startedAt = clock.now();
-    const latest = startedAt + settings.graceMilliseconds - StopMarginMilliseconds;
-    parts.life.isStopping = true;
+    const latestExitAt = startedAt + settings.graceMilliseconds - StopMarginMilliseconds;
+    components.lifecycle.isStopping = true;
     log.record(telemetry.events.InstanceDraining, { inProgress: server.getInProgress() });
     scheduler.stop();
     network.announceLeaving();
     void submissions.handOver();
     await clock.sleep(settings.balancerMilliseconds);
     server.startClosing();
-    const shortest = settings.balancerMilliseconds + Math.min(LastRequestsMilliseconds, settings.balancerMilliseconds);
-    while (clock.now() < latest && !(server.getInProgress() === 0 && clock.now() - startedAt > shortest)) {
+    const shortestMilliseconds =
+        settings.balancerMilliseconds + Math.min(InTransitRequestMilliseconds, settings.balancerMilliseconds);
+    while (
+        clock.now() < latestExitAt &&
+        !(server.getInProgress() === 0 && clock.now() - startedAt > shortestMilliseconds)
+    ) {
         server.server.closeIdleConnections();
-        await clock.sleep(StopLookMilliseconds);
+        await clock.sleep(StopPollMilliseconds);
     }
-    while (clock.now() < latest && submissions.getActiveCount() > 0) {
-        await clock.sleep(StopLookMilliseconds);
+    while (clock.now() < latestExitAt && submissions.getActiveCount() > 0) {
+        await clock.sleep(StopPollMilliseconds);
     }
     log.record(telemetry.events.InstanceStopped, { inProgress: server.getInProgress() });
 }
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,6 +1,6 @@
-/** The processes of the users' platform, as parts that tests start. */
+/** The processes that run on the users' platform, exported so that tests can start them. */
 export * from "./settings.js";
-export * from "./settingsKeeper.js";
+export * from "./settingsWatcher.js";
 export * from "./eventLog.js";
 export * from "./peers.js";
 export * from "./composition.js";
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -2,14 +2,14 @@
 import * as eventLog from "./eventLog.js";
 import * as gatewayProcess from "./gatewayProcess.js";
 import * as settingsReader from "./settings.js";
-import * as settingsKeeper from "./settingsKeeper.js";
+import * as settingsWatcher from "./settingsWatcher.js";
 import * as storageProcess from "./storageProcess.js";
 
-/** What a process does; the first word of its command line. */
+/** Role of the process, given as the first command-line argument. */
 enum Role {
     Gateway = "gateway",
     Storage = "storage",
-    /** Loads all modules and ends: the build keeps the code that this compiles. */
+    /** Loads all modules and exits. The bundler uses this to create the cache of compiled code. */
     Load = "load",
 }
 
@@ -32,15 +32,18 @@
         process.once("SIGINT", () => resolve());
     });
     await using log = new eventLog.EventLog(clock, settings.value.instance, settings.value.logLevel);
-    await using keeper = new settingsKeeper.SettingsKeeper({
-        file: core.Debug.checkDefined(process.env[settingsReader.SettingsVariable], "the settings were read from it"),
+    await using watcher = new settingsWatcher.SettingsWatcher({
+        file: core.Debug.checkDefined(
+            process.env[settingsReader.SettingsVariable],
+            "the settings were read from the file that this variable names",
+        ),
         initial: settings.value,
-        onRead: (changed, findings) => log.noteReload(changed, findings),
+        onRead: (changed, findings) => log.recordReload(changed, findings),
     });
-    process.on("SIGHUP", () => keeper.reload());
+    process.on("SIGHUP", () => watcher.reload());
     switch (role) {
         case Role.Gateway:
-            await gatewayProcess.runGatewayProcess({ getSettings: () => keeper.get(), clock, log, stop });
+            await gatewayProcess.runGatewayProcess({ getSettings: () => watcher.get(), clock, log, stop });
             break;
         case Role.Storage:
             await storageProcess.runStorageProcess(settings.value, clock, log, stop);
@@ -50,6 +53,6 @@
             process.exitCode = UsageExitCode;
             return;
     }
-    // Timers of abandoned waits would keep the process; everything that has to end has ended.
+    // Pending timers of abandoned waits would keep the process alive, although the role has finished.
     setImmediate(() => process.exit(0));
 }
--- a/packages/daemon/src/peerTelemetry.ts
+++ b/packages/daemon/src/peerTelemetry.ts
@@ -2,13 +2,13 @@
 import * as telemetry from "@boragedale/telemetry";
 import type * as eventLog from "./eventLog.js";
 
-/** Links that open, and close when idle, are no news in a large fleet. */
+/** Events that are not logged, because in a large fleet links are constantly opened and closed when idle. */
 const UnloggedEvents: ReadonlySet<telemetry.events.EventDefinition> = new Set([
     telemetry.events.PeerConnected,
     telemetry.events.PeerLost,
 ]);
 
-/** Passes the events of the peer network on to the log of the process. */
+/** Forwards the events of the peer network to the log of the process. */
 export class PeerTelemetry extends telemetry.Telemetry {
     constructor(
         instance: core.InstanceId,
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -2,32 +2,32 @@
 import * as core from "@boragedale/core";
 import * as zod from "zod";
 
-/** Variable that holds the path of the settings file. */
+/** Environment variable that holds the path of the settings file. */
 export const SettingsVariable = "BORAGEDALE_SETTINGS";
 
-const Address = zod.string().regex(/^[^:]+:\d+$/, "an address such as 10.0.0.1:8080");
+const Address = zod.string().regex(/^[^:]+:\d+$/, "must be an address such as 10.0.0.1:8080");
 
 const SettingsSchema = zod.object({
-    /** Name of the machine; the operators use it. */
+    /** Name of the machine, as operators use it. */
     instance: zod.string().min(1),
     dataCentre: zod.string().min(1),
     /** IP address and port of the platform's metadata store. */
     storeAddress: Address,
-    /** Faces of a gateway; a storage machine has none. */
+    /** Addresses that a gateway listens on; a storage machine has none. */
     callerAddress: Address.optional(),
     readinessAddress: Address.optional(),
     peerAddress: Address.optional(),
-    /** Peer faces that may be asked before the store has listed any. */
+    /** Addresses of peers to connect to before the store has listed any. */
     peerSeeds: zod.array(Address).default([]),
-    /** Shared by all instances; proves a peer. Replace the deployed example before others can reach the network. */
+    /** Key shared by all instances to authenticate peers. Replace the deployed example before others can reach the network. */
     peerKey: zod.string().min(8),
-    /** From SIGTERM to the kill. */
+    /** Time between SIGTERM and the kill. */
     graceMilliseconds: zod.number().min(1_000).default(8_000),
-    /** How long the balancer still sends after a stop signal: two of its questions a second, and a little more. */
+    /** How long the load balancer keeps sending after a stop signal: two readiness checks, one a second, and a margin. */
     balancerMilliseconds: zod.number().min(0).default(2_300),
-    /** How long results stay readable after their submission. */
+    /** How long results stay readable after submission. */
     retentionMilliseconds: zod.number().min(1_000).default(120_000),
-    /** What operators and callers agreed on about customers' limits. */
+    /** Window, tolerated overshoot and slack of customers' limits, as agreed between operators and callers. */
     quotaWindowSeconds: zod.coerce.number().positive().default(5),
     quotaOverShare: zod.coerce.number().min(0).default(0.1),
     quotaSlack: zod.coerce.number().min(0).default(20),
@@ -37,7 +37,7 @@
 
 export type Settings = zod.infer<typeof SettingsSchema>;
 
-/** Reads and checks the settings file; all findings at once, each with its place. */
+/** Reads and validates the settings file. On failure, returns all findings together, each with its place. */
 export function readSettings(environment: NodeJS.ProcessEnv): core.Checked<Settings> {
     const file = environment[SettingsVariable];
     if (file === undefined) {
@@ -55,7 +55,7 @@
     catch (error) {
         return { ok: false, findings: [createSettingFinding(file, "", String(error))] };
     }
-    const parsed = SettingsSchema.safeParse(dropEmpty(json));
+    const parsed = SettingsSchema.safeParse(omitEmptyStrings(json));
     if (parsed.success) {
         return { ok: true, value: parsed.data, findings: [] };
     }
@@ -70,13 +70,16 @@
     return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** Address of a face that a role can't do without. */
-export function getFace(address: string | undefined, name: string): { readonly host: string; readonly port: number } {
-    return splitAddress(core.Debug.checkDefined(address, `a gateway needs ${name}`));
+/** Returns the host and port of an address that a gateway requires. */
+export function getRequiredAddress(
+    address: string | undefined,
+    name: string,
+): { readonly host: string; readonly port: number } {
+    return splitAddress(core.Debug.checkDefined(address, `a gateway requires the setting ${name}`));
 }
 
-/** A template leaves an empty text where the platform has no value for this kind of machine. */
-function dropEmpty(json: unknown): unknown {
+/** Removes empty strings, which the settings template leaves where the platform has no value for this kind of machine. */
+function omitEmptyStrings(json: unknown): unknown {
     if (typeof json !== "object" || !json || Array.isArray(json)) {
         return json;
     }
--- a/packages/daemon/src/storageProcess.ts
+++ b/packages/daemon/src/storageProcess.ts
@@ -6,12 +6,12 @@
 import type * as eventLog from "./eventLog.js";
 import type * as settingsReader from "./settings.js";
 
-const WatchMilliseconds = 10_000;
-const RetryMilliseconds = 300;
+const WatchWaitMilliseconds = 10_000;
+const RetryDelayMilliseconds = 300;
 
 /**
- * The process on the machines with disks. What must last lies in the platform's store, so that a machine is empty at
- * any time: the one duty is to say so when the operators want to take it away.
+ * Runs the process on the machines with disks. All durable data is in the platform's store, so that the machine is always empty.
+ * The only task of the process is to confirm this when the operators want to retire the machine.
  */
 export async function runStorageProcess(
     settings: settingsReader.Settings,
@@ -19,29 +19,29 @@
     log: eventLog.EventLog,
     stop: Promise<void>,
 ): Promise<void> {
-    await using stack = new core.DisposalStack();
+    await using disposables = new core.DisposalStack();
     const codec = new platform.PlatformRegistryCodec();
-    const store = stack.use(
+    const store = disposables.use(
         new platform.PlatformStore({
             address: settings.storeAddress,
             callTimeoutMilliseconds: composition.StoreTimeoutMilliseconds,
         }),
     );
     const key = codec.retirementPrefix + settings.instance;
-    const tell = (entries: readonly gateway.StoreEntry[]): void => {
+    const confirmIfRetiring = (entries: readonly gateway.StoreEntry[]): void => {
         if (entries.some(entry => entry.key === key && entry.value !== undefined)) {
             void confirmEmpty(store, codec, settings.instance, clock, log);
         }
     };
-    const watcher = stack.use(
+    const watcher = disposables.use(
         new gateway.StoreWatcher(
             { store, clock, log },
             {
                 prefix: key,
-                waitMilliseconds: WatchMilliseconds,
+                waitMilliseconds: WatchWaitMilliseconds,
                 longestGatherMilliseconds: 0,
-                applyListing: listing => tell(listing.entries),
-                applyChanges: tell,
+                applyListing: listing => confirmIfRetiring(listing.entries),
+                applyChanges: confirmIfRetiring,
             },
         ),
     );
@@ -65,6 +65,6 @@
             log.record(telemetry.events.MachineEmptied, { machine });
             return;
         }
-        await clock.sleep(RetryMilliseconds);
+        await clock.sleep(RetryDelayMilliseconds);
     }
 }
