--- a/packages/core/src/clock.ts
+++ b/packages/core/src/clock.ts
@@ -1,18 +1,18 @@
 import type * as types from "./types.js";
 
 /**
- * The only source of time. Code that decides or waits takes a clock, so that tests run in virtual time and a fixed
- * seed always gives the same run.
+ * The only source of time. Code that depends on time or waits is given a clock, so that tests can run in virtual time and are
+ * reproducible from a fixed seed.
  */
 export abstract class Clock {
-    /** Monotonic time; a wall clock that steps back must never lengthen a lease. */
+    /** Monotonic time, used for leases among others: a wall clock that is set back would lengthen them. */
     abstract now(): types.MonotonicMilliseconds;
     /** Wall time, for retention and display. */
     abstract wallNow(): types.WallMilliseconds;
-    /** Runs `action` once after `milliseconds`; the returned function stops it. */
+    /** Runs `action` once after `milliseconds`. The returned function cancels it. */
     abstract schedule(milliseconds: number, action: () => void): () => void;
 
-    /** Resolves after `milliseconds`, or at once when `signal` is aborted; tells which by `signal.aborted`. */
+    /** Resolves after `milliseconds`, or as soon as `signal` is aborted; `signal.aborted` distinguishes the two. */
     async sleep(milliseconds: number, signal?: AbortSignal): Promise<void> {
         if (signal?.aborted === true) {
             return;
@@ -46,14 +46,14 @@
 }
 
 interface ScheduledAction {
-    readonly at: types.MonotonicMilliseconds;
+    readonly dueAt: types.MonotonicMilliseconds;
     readonly order: number;
     readonly action: () => void;
 }
 
 /**
- * A clock that moves only when a test tells it to. Actions due at the same instant run in the order in which they
- * were scheduled, so that a run is the same every time.
+ * A clock for tests that moves only when `advance` is called. Actions due at the same time run in the order in which they
+ * were scheduled, so that runs are reproducible.
  */
 export class VirtualClock extends Clock {
     private current: types.MonotonicMilliseconds = 0;
@@ -70,48 +70,48 @@
 
     override schedule(milliseconds: number, action: () => void): () => void {
         const order = this.nextOrder++;
-        this.pending.set(order, { at: this.current + Math.max(0, milliseconds), order, action });
+        this.pending.set(order, { dueAt: this.current + Math.max(0, milliseconds), order, action });
         return () => this.pending.delete(order);
     }
 
-    /** Number of actions that wait. */
+    /** Number of scheduled actions that have not run. */
     getPendingCount(): number {
         return this.pending.size;
     }
 
-    /** Moves time forward by `milliseconds`, running what falls due and letting promises settle in between. */
+    /** Moves time forward by `milliseconds`, running the actions that become due and letting promises settle after each. */
     async advance(milliseconds: number): Promise<void> {
         const end = this.current + milliseconds;
         await settle();
         for (;;) {
-            const next = this.tryGetNext(end);
+            const next = this.tryGetNextDue(end);
             if (next === undefined) {
                 break;
             }
             this.pending.delete(next.order);
-            this.current = Math.max(this.current, next.at);
+            this.current = Math.max(this.current, next.dueAt);
             next.action();
             await settle();
         }
         this.current = end;
     }
 
-    private tryGetNext(end: types.MonotonicMilliseconds): ScheduledAction | undefined {
-        let best: ScheduledAction | undefined;
+    private tryGetNextDue(end: types.MonotonicMilliseconds): ScheduledAction | undefined {
+        let earliest: ScheduledAction | undefined;
         for (const candidate of this.pending.values()) {
             const isEarlier =
-                best === undefined ||
-                candidate.at < best.at ||
-                (candidate.at === best.at && candidate.order < best.order);
-            if (candidate.at <= end && isEarlier) {
-                best = candidate;
+                earliest === undefined ||
+                candidate.dueAt < earliest.dueAt ||
+                (candidate.dueAt === earliest.dueAt && candidate.order < earliest.order);
+            if (candidate.dueAt <= end && isEarlier) {
+                earliest = candidate;
             }
         }
-        return best;
+        return earliest;
     }
 }
 
-/** Lets promise callbacks run until the queue is quiet; a macrotask turn drains the whole microtask queue. */
+/** Lets pending promise callbacks run: each macrotask turn drains the whole microtask queue. */
 async function settle(): Promise<void> {
     for (let turn = 0; turn < 3; turn++) {
         await new Promise<void>(resolve => setImmediate(resolve));
--- a/packages/core/src/disposal.ts
+++ b/packages/core/src/disposal.ts
@@ -1,6 +1,6 @@
 /**
- * Owns resources and gives them back in the reverse order of their start, so that nothing is taken away from a part
- * that still uses it. (`AsyncDisposableStack` is not in Node 20.)
+ * Owns resources and disposes of them in the reverse order of their creation, so that no resource is disposed of while another
+ * one still uses it. (Node 20 has no `AsyncDisposableStack`.)
  */
 export class DisposalStack implements AsyncDisposable {
     private readonly resources: AsyncDisposable[] = [];
@@ -10,12 +10,12 @@
         return resource;
     }
 
-    /** Owns something whose end is an action. */
+    /** Registers an action to run on disposal. */
     defer(action: () => Promise<void> | void): void {
         this.resources.push({ [Symbol.asyncDispose]: async () => action() });
     }
 
-    /** Gives back everything even when some of it fails; the first failure is thrown at the end. */
+    /** Disposes of all resources even if some fail, then throws the first failure. */
     async [Symbol.asyncDispose](): Promise<void> {
         const failures: unknown[] = [];
         for (let resource = this.resources.pop(); resource !== undefined; resource = this.resources.pop()) {
--- a/packages/core/src/errors.ts
+++ b/packages/core/src/errors.ts
@@ -1,7 +1,7 @@
 import type * as types from "./types.js";
 import * as messages from "./messages.js";
 
-/** Why a request was not answered as asked. The names are stable: callers see them as `error.code`. */
+/** Why a request was refused. The values are stable: callers receive them as `error.code`. */
 export enum RefusalKind {
     NotAuthorized = "not_authorized",
     BodyInvalid = "body_invalid",
@@ -23,13 +23,13 @@
     InternalDefect = "internal_defect",
 }
 
-/** A final answer that is not the one asked for. Made the moment the request is given up on, never held back. */
+/** The final response to a request that is refused or has failed. It is sent as soon as that is known, without delay. */
 export interface Refusal {
     readonly kind: RefusalKind;
     readonly text: string;
-    /** `NotRun` only where nothing can have reached an upstream. */
+    /** `NotRun` only if nothing can have reached an upstream. */
     readonly certainty: types.RunCertainty;
-    /** When to come back, in milliseconds; absent where coming back would not help. */
+    /** Time after which to retry, in milliseconds; absent if a retry would not help. */
     readonly retryAfterMilliseconds?: number;
 }
 
--- a/packages/core/src/findings.ts
+++ b/packages/core/src/findings.ts
@@ -1,6 +1,6 @@
 import * as messages from "./messages.js";
 
-/** Where a finding belongs: a flag, an environment variable, or a line and column of a file. */
+/** What a finding refers to: a flag, an environment variable, a position in a file, or a path that names part of an input. */
 export enum PlaceKind {
     Flag = "Flag",
     Variable = "Variable",
@@ -14,13 +14,13 @@
     | { readonly kind: PlaceKind.File; readonly file: string; readonly line: number; readonly column: number }
     | { readonly kind: PlaceKind.Request; readonly path: string };
 
-/** How bad a finding is. Only errors stop a command. */
+/** Severity of a finding. Only errors stop a command. */
 export enum Severity {
     Error = "Error",
     Warning = "Warning",
 }
 
-/** One problem with its place. Findings are gathered and reported together, never thrown one by one. */
+/** A problem in an input and its place. Findings are collected and reported together rather than thrown. */
 export interface Finding {
     readonly severity: Severity;
     readonly code: number;
@@ -28,7 +28,7 @@
     readonly text: string;
 }
 
-/** A value, or all that is wrong with the input it was made from. */
+/** A value with its warnings, or all findings on an input from which no value could be created. */
 export type Checked<T> =
     | { readonly ok: true; readonly value: T; readonly findings: readonly Finding[] }
     | { readonly ok: false; readonly findings: readonly Finding[] };
@@ -41,7 +41,7 @@
     return { ...createFinding(message, place, ...values), severity: Severity.Warning };
 }
 
-/** One line for a person: `note.yaml:3:7 - error BD2001: …`. */
+/** Formats a finding as one line, such as `note.yaml:3:7 - error BD2001: …`. */
 export function formatFinding(finding: Finding): string {
     const severity = finding.severity === Severity.Error ? "error" : "warning";
     return `${formatPlace(finding.place)} - ${severity} BD${finding.code}: ${finding.text}`;
--- a/packages/core/src/fleet.ts
+++ b/packages/core/src/fleet.ts
@@ -1,8 +1,8 @@
 import type * as types from "./types.js";
 
 /**
- * The state that a release note, put upon the one before it, asks of the fleet. Everything that routes, limits or
- * orders reads this and nothing else. The note itself lists only what is added, changed and withdrawn.
+ * The desired state of the fleet, which results from applying a release note to the state before it. Routing, limits and
+ * rollout depend on this state only. The note itself lists only what is added, changed and withdrawn.
  */
 export interface FleetDescription {
     readonly models: readonly ModelDescription[];
@@ -17,7 +17,7 @@
     readonly id: types.ModelId;
     readonly version: string;
     readonly adapters: readonly AdapterDescription[];
-    /** Fewest upstreams that must serve the model for each class while a rollout goes on. */
+    /** Minimum number of upstreams that must serve the model during a rollout, for each request class. */
     readonly onlineFloor: number;
     readonly batchFloor: number;
 }
@@ -29,72 +29,72 @@
 
 export interface UpstreamDescription extends types.UpstreamAddress {
     readonly role: types.UpstreamRole;
-    /** Models that an engine is to hold; empty for a plain service. */
+    /** Models that an engine is to load; empty for a plain service. */
     readonly models: readonly types.ModelId[];
-    /** Whether the upstream refuses an order with an old fencing number. */
+    /** Whether the upstream rejects an order with an outdated fencing number. */
     readonly checksFencing: boolean;
-    /** Requests that the upstream may run at once; our limit, since engines admit whatever comes. */
+    /** Maximum number of concurrent requests. The fleet enforces it, since engines admit any number. */
     readonly concurrency: number;
-    /** True once operators want it to take no new work. */
+    /** Whether the operators want the upstream to accept no new work. */
     readonly isLeaving: boolean;
 }
 
 export interface ServiceDescription {
-    /** First segment of the path below `/services/`. */
+    /** First path segment below `/services/`. */
     readonly id: string;
     readonly upstreams: readonly types.UpstreamId[];
     readonly routes: readonly RouteDescription[];
 }
 
 export interface RouteDescription {
-    /** HTTP method in capitals, or `*`. */
+    /** HTTP method in upper case, or `*` for any. */
     readonly method: string;
     /** Path prefix within the service, such as `/bookings`. */
     readonly path: string;
     readonly safety: types.CallSafety;
-    /** Path that tells the outcome of a key (`{key}` is replaced); given for askable routes. */
+    /** Path that returns the outcome of the call with a key, which replaces `{key}`; set for askable routes. */
     readonly askPath?: string;
     /**
-     * Longest time after which a call that reached the service can still begin to run there, in milliseconds. Only where
-     * it is given is an askable call, that the service has denied for that long, sent again.
+     * Maximum time between a call's arrival at the service and its start there, in milliseconds. An askable call is sent again
+     * only if this is set and the service has denied knowing the call for that long.
      */
     readonly settleMilliseconds?: number;
 }
 
 export interface CallerDescription {
     readonly id: types.CallerId;
-    /** SHA-256 of the bearer token, in hexadecimal. Tokens themselves are stored nowhere. */
+    /** SHA-256 of the bearer token, in hexadecimal. The token itself is never stored. */
     readonly tokenHash: string;
-    /** Relative share when callers compete. */
+    /** Relative share of capacity when callers compete. */
     readonly weight: number;
 }
 
 export interface WeightStoreLimits {
-    /** Loads that may run at once over the whole fleet. */
+    /** Maximum number of concurrent loads over the whole fleet. */
     readonly concurrentLoads: number;
 }
 
 export interface FleetPolicy {
-    /** 0: batch takes only what online can't notice; 1: batch throughput counts as much as online latency. */
+    /** 0: batch work must not noticeably affect online work; 1: batch throughput counts as much as online latency. */
     readonly batchWeight: number;
     /** How long results stay readable, in milliseconds. */
     readonly retentionMilliseconds: number;
-    /** Deadline of an online request that names none, in milliseconds. */
+    /** Default deadline of an online request, in milliseconds. */
     readonly onlineDeadlineMilliseconds: number;
-    /** Deadline of a job that names none, in milliseconds. */
+    /** Default deadline of a job, in milliseconds. */
     readonly batchDeadlineMilliseconds: number;
-    /** Times an item of a job is tried before it ends as failed. */
+    /** Number of attempts at an item of a job before it fails. */
     readonly itemAttempts: number;
 }
 
-/** A release note that was accepted. Its generation only ever rises. */
+/** The accepted release note that applies to the fleet. Each new note has a higher generation. */
 export interface NoteInForce {
     readonly generation: types.Generation;
     readonly fleet: FleetDescription;
-    /** The note's YAML text as published. */
+    /** YAML text of the note as published. */
     readonly source: string;
     readonly author: string;
     readonly publishedAt: types.WallMilliseconds;
-    /** Random text by which a publisher that lost the reply recognises its own write. */
+    /** Random string by which a publisher recognises its own write if the reply to it was lost. */
     readonly nonce: string;
 }
--- a/packages/core/src/messages.ts
+++ b/packages/core/src/messages.ts
@@ -1,7 +1,6 @@
 /**
- * The catalogue of every message that a caller or an operator can read, numbered once and for all. Placeholders are
- * `{0}`, `{1}`, … Ranges: 1000 settings, 2000 release notes, 3000 requests, 4000 jobs, 5000 commands,
- * 6000 registries.
+ * The catalogue of all messages to callers and operators. The code of a message never changes. Placeholders are `{0}`, `{1}`, …
+ * Code ranges: 1000 settings, 2000 release notes, 3000 requests, 4000 jobs, 5000 commands, 6000 registries.
  */
 
 export type Value = string | number | boolean;
@@ -71,7 +70,7 @@
 export const FileUnreadable = createMessage(5004, "the file '{0}' can't be read: {1}");
 export const CommandUnknown = createMessage(5005, "there is no command '{0}'");
 
-/** Puts values into a message's placeholders. */
+/** Replaces the placeholders of a message with values. */
 export function formatMessage(message: Message, ...values: readonly Value[]): string {
     return message.template.replace(/\{(\d+)\}/g, (placeholder, index: string) => {
         const value = values[Number(index)];
--- a/packages/core/src/types.ts
+++ b/packages/core/src/types.ts
@@ -1,52 +1,52 @@
 /**
- * The vocabulary that every package shares. Words of the brief (instance, data centre, caller, upstream, release
- * note) are kept; everything else uses the field's standard terms. docs/GLOSSARY.md maps the two.
+ * Types shared by all packages. The terms instance, data centre, caller, upstream and release note are defined in
+ * docs/GLOSSARY.md.
  */
 
-/** Name of one entry instance, unique in the fleet. */
+/** Name of an instance, unique in the fleet. */
 export type InstanceId = string;
-/** Name of a data centre, as the settings and the instance list give it. */
+/** Name of a data centre, as used in the settings and the instance list. */
 export type DataCentre = string;
-/** Name of a caller, as the release note lists it. */
+/** Name of a caller, as listed in the release note. */
 export type CallerId = string;
-/** Name of an upstream (model engine or plain service), as the release note lists it. */
+/** Name of an upstream (model engine or plain service), as listed in the release note. */
 export type UpstreamId = string;
-/** Name of a model, as callers ask for it. */
+/** Name of a model, as used in callers' requests. */
 export type ModelId = string;
-/** Number of a release note; the note in force has the highest one accepted. */
+/** Number of a release note. The note in force is the accepted one with the highest number. */
 export type Generation = number;
-/** Milliseconds on a monotonic clock; only differences mean anything. */
+/** Milliseconds on a monotonic clock; only differences are meaningful. */
 export type MonotonicMilliseconds = number;
-/** Milliseconds since the Unix epoch; steps with the wall clock, so it is for display and retention only. */
+/** Milliseconds since the Unix epoch. For display and retention only, because the wall clock can be adjusted. */
 export type WallMilliseconds = number;
 
-/** How urgent a request is. Batch work never delays online work, at any point of the way. */
+/** Urgency class of a request. Batch work must not delay online work at any stage of processing. */
 export enum RequestClass {
     Online = "Online",
     Batch = "Batch",
 }
 
-/** What kind of program an upstream is. */
+/** Kind of an upstream: a model engine or a plain service. */
 export enum UpstreamKind {
     Engine = "Engine",
     Service = "Service",
 }
 
-/** Which classes an upstream serves, as the release note says. */
+/** Request classes that an upstream serves according to the release note. */
 export enum UpstreamRole {
     Online = "Online",
     Batch = "Batch",
     Mixed = "Mixed",
 }
 
-/** Where an upstream or an instance stands in its life. */
+/** Lifecycle state of an upstream or an instance. */
 export enum LifeState {
     Live = "Live",
     Leaving = "Leaving",
     Gone = "Gone",
 }
 
-/** Where an upstream can be reached. Source: the release note, joined with the instance list. */
+/** Address of an upstream, taken from the release note joined with the instance list. */
 export interface UpstreamAddress {
     readonly id: UpstreamId;
     readonly kind: UpstreamKind;
@@ -55,35 +55,35 @@
     readonly dataCentre: DataCentre;
 }
 
-/** One line of the platform's instance list. The list lags: treat it as a hint. */
+/** An entry of the platform's instance list. The list may be out of date, so entries are only hints. */
 export interface InstanceDescription {
     readonly id: InstanceId;
     readonly dataCentre: DataCentre;
     readonly state: LifeState;
-    /** Base URL of the caller face. */
+    /** Base URL of the caller endpoint. */
     readonly callerUrl: string;
-    /** WebSocket URL of the peer face. */
+    /** WebSocket URL of the peer endpoint. */
     readonly peerUrl: string;
-    /** Base URL of the operator face. */
+    /** Base URL of the operator endpoint. */
     readonly operatorUrl: string;
 }
 
-/** How a plain service's call may be treated when its outcome is not known. Source: the release note. */
+/** How a call to a plain service may be handled when its outcome is not known, according to the release note. */
 export enum CallSafety {
     /** May run any number of times. */
     Idempotent = "Idempotent",
-    /** The service drops duplicates that carry the same key: resending is safe. */
+    /** The service discards duplicates with the same key, so that resending is safe. */
     Deduplicated = "Deduplicated",
-    /** The service can be asked whether a key has run. */
+    /** The service can be asked whether the call with a key has run. */
     Askable = "Askable",
-    /** May run at most once and can't be asked: an unknown outcome stays unknown. */
+    /** May run at most once, and the service can't be asked: an unknown outcome stays unknown. */
     AtMostOnce = "AtMostOnce",
 }
 
 /** Whether a refused or failed request may have had an effect. */
 export enum RunCertainty {
-    /** Nothing was sent upstream: sending it again is safe. */
+    /** Nothing was sent to an upstream, so that resending is safe. */
     NotRun = "NotRun",
-    /** It may have run, wholly or in part. */
+    /** The request may have run, completely or in part. */
     MayHaveRun = "MayHaveRun",
 }
