--- a/packages/telemetry/src/events.ts
+++ b/packages/telemetry/src/events.ts
@@ -1,6 +1,6 @@
 /**
- * The catalogue of events: each has a number that never changes, a severity, and a sentence for the docs page. The
- * page docs/operators/EVENTS.md is generated from this file.
+ * The catalogue of events. Each has a number that never changes, a level and a description. The page
+ * docs/operators/EVENTS.md is generated from this file.
  */
 
 export enum EventLevel {
@@ -19,258 +19,388 @@
 
 const definitions: EventDefinition[] = [];
 
-function define(number: number, name: string, level: EventLevel, meaning: string): EventDefinition {
+function defineEvent(number: number, name: string, level: EventLevel, meaning: string): EventDefinition {
     const definition = { number, name, level, meaning };
     definitions.push(definition);
     return definition;
 }
 
-// 100: the instance itself
-export const InstanceStarted = define(100, "InstanceStarted", EventLevel.Info, "The instance listens on its faces.");
-export const InstanceDraining = define(101, "InstanceDraining", EventLevel.Info, "The instance takes no new work.");
-export const InstanceStopped = define(102, "InstanceStopped", EventLevel.Info, "Nothing was in progress; the end.");
-export const InternalDefect = define(103, "InternalDefect", EventLevel.Error, "A defect was met; see the text.");
+// 100: lifecycle of the instance
+export const InstanceStarted = defineEvent(
+    100,
+    "InstanceStarted",
+    EventLevel.Info,
+    "The instance has started and listens on its endpoints.",
+);
+export const InstanceDraining = defineEvent(
+    101,
+    "InstanceDraining",
+    EventLevel.Info,
+    "The instance is stopping and accepts no new work.",
+);
+export const InstanceStopped = defineEvent(
+    102,
+    "InstanceStopped",
+    EventLevel.Info,
+    "The instance stops because its work has ended or its grace period is over.",
+);
+export const InternalDefect = defineEvent(
+    103,
+    "InternalDefect",
+    EventLevel.Error,
+    "A defect in the program occurred; the text describes it.",
+);
 
 // 200: release notes and rollout
-export const NoteInForce = define(200, "NoteInForce", EventLevel.Info, "A release note of a higher generation rules.");
-export const NotePublished = define(201, "NotePublished", EventLevel.Info, "This instance published a release note.");
-export const NoteRejected = define(
+export const NoteInForce = defineEvent(
+    200,
+    "NoteInForce",
+    EventLevel.Info,
+    "A release note of a higher generation is in force on this instance.",
+);
+export const NotePublished = defineEvent(
+    201,
+    "NotePublished",
+    EventLevel.Info,
+    "This instance published a release note.",
+);
+export const NoteRejected = defineEvent(
     202,
     "NoteRejected",
     EventLevel.Warn,
-    "A stored note could not be read; kept the old.",
+    "A release note could not be read, so the previous one stays in force, or could not be stored; the text says which.",
+);
+export const UpstreamOrdered = defineEvent(
+    203,
+    "UpstreamOrdered",
+    EventLevel.Info,
+    "An upstream was ordered to change.",
 );
-export const UpstreamOrdered = define(203, "UpstreamOrdered", EventLevel.Info, "An upstream was ordered to change.");
-export const UpstreamReached = define(
+export const UpstreamReached = defineEvent(
     204,
     "UpstreamReached",
     EventLevel.Info,
     "An upstream reports its desired state.",
 );
-export const UpstreamBlocked = define(
+export const UpstreamBlocked = defineEvent(
     205,
     "UpstreamBlocked",
     EventLevel.Warn,
-    "An upstream does not get there; see why.",
+    "An upstream can't reach its desired state; the text gives the reason.",
 );
-export const NoteConfirmationLost = define(
+export const NoteConfirmationLost = defineEvent(
     206,
     "NoteConfirmationLost",
     EventLevel.Warn,
-    "Neither platform nor peers confirm the note.",
+    "Neither the platform nor the peers confirm the note in force any longer.",
 );
 
 // 300: online requests
-export const RequestAdmitted = define(300, "RequestAdmitted", EventLevel.Debug, "A request was admitted.");
-export const RequestPlaced = define(301, "RequestPlaced", EventLevel.Debug, "A request was sent to an upstream.");
-export const RequestRefused = define(302, "RequestRefused", EventLevel.Info, "A request was refused; see the code.");
-export const RequestRetried = define(303, "RequestRetried", EventLevel.Info, "A request goes to another upstream.");
-export const RequestFinished = define(304, "RequestFinished", EventLevel.Debug, "A request was answered in full.");
-export const RequestAbandoned = define(305, "RequestAbandoned", EventLevel.Info, "The caller went away; cancelled.");
-export const RequestQuarantined = define(306, "RequestQuarantined", EventLevel.Warn, "A request that ends upstreams.");
-export const UpstreamSuspected = define(307, "UpstreamSuspected", EventLevel.Warn, "An upstream is slow or failing.");
-export const UpstreamRestored = define(308, "UpstreamRestored", EventLevel.Info, "An upstream takes work again.");
-export const StreamResumed = define(309, "StreamResumed", EventLevel.Info, "A stream goes on on a new connection.");
+export const RequestAdmitted = defineEvent(300, "RequestAdmitted", EventLevel.Debug, "A request was admitted.");
+export const RequestPlaced = defineEvent(301, "RequestPlaced", EventLevel.Debug, "A request was sent to an upstream.");
+export const RequestRefused = defineEvent(
+    302,
+    "RequestRefused",
+    EventLevel.Info,
+    "A request was refused; the code gives the reason.",
+);
+export const RequestRetried = defineEvent(
+    303,
+    "RequestRetried",
+    EventLevel.Info,
+    "A request is retried on another upstream.",
+);
+export const RequestFinished = defineEvent(304, "RequestFinished", EventLevel.Debug, "A request was answered in full.");
+export const RequestAbandoned = defineEvent(
+    305,
+    "RequestAbandoned",
+    EventLevel.Info,
+    "The caller disconnected and its request was cancelled.",
+);
+export const RequestQuarantined = defineEvent(
+    306,
+    "RequestQuarantined",
+    EventLevel.Warn,
+    "A request was refused because it is suspected of crashing upstreams.",
+);
+export const UpstreamSuspected = defineEvent(
+    307,
+    "UpstreamSuspected",
+    EventLevel.Warn,
+    "An upstream is suspected to be slow or failing.",
+);
+export const UpstreamRestored = defineEvent(
+    308,
+    "UpstreamRestored",
+    EventLevel.Info,
+    "An upstream receives work again.",
+);
+export const StreamResumed = defineEvent(
+    309,
+    "StreamResumed",
+    EventLevel.Info,
+    "An interrupted stream continues on a new connection.",
+);
 
 // 400: non-idempotent calls
-export const CallStarted = define(
+export const CallStarted = defineEvent(
     400,
     "CallStarted",
     EventLevel.Debug,
-    "A non-idempotent call is recorded as started.",
+    "A non-idempotent call was recorded as started.",
+);
+export const CallFinished = defineEvent(
+    401,
+    "CallFinished",
+    EventLevel.Debug,
+    "The outcome of a non-idempotent call was recorded.",
 );
-export const CallFinished = define(401, "CallFinished", EventLevel.Debug, "Its outcome is recorded.");
-export const CallOutcomeUnknown = define(
+export const CallOutcomeUnknown = defineEvent(
     402,
     "CallOutcomeUnknown",
     EventLevel.Error,
-    "It can't be known whether it ran.",
+    "It can't be determined whether a non-idempotent call ran.",
+);
+export const LedgerFenced = defineEvent(
+    403,
+    "LedgerFenced",
+    EventLevel.Warn,
+    "Another holder of a ledger shard wrote to it first.",
 );
-export const LedgerFenced = define(403, "LedgerFenced", EventLevel.Warn, "Another holder wrote this shard first.");
 
 // 500: batch jobs
-export const JobAccepted = define(500, "JobAccepted", EventLevel.Info, "A job and its input are kept.");
-export const JobFinished = define(501, "JobFinished", EventLevel.Info, "Every item of the job has ended.");
-export const JobCancelled = define(502, "JobCancelled", EventLevel.Info, "The job's caller cancelled it.");
-export const ChunkClaimed = define(503, "ChunkClaimed", EventLevel.Debug, "This instance claimed a chunk of a job.");
-export const ChunkFinished = define(504, "ChunkFinished", EventLevel.Debug, "Every item of the chunk has ended.");
-export const ChunkLost = define(505, "ChunkLost", EventLevel.Warn, "Another instance holds the chunk now.");
-export const ItemFailed = define(506, "ItemFailed", EventLevel.Info, "An item used up its attempts.");
-export const BatchShifted = define(507, "BatchShifted", EventLevel.Info, "Batch streams gave way to an online burst.");
+export const JobAccepted = defineEvent(
+    500,
+    "JobAccepted",
+    EventLevel.Info,
+    "A job was accepted and stored with its input.",
+);
+export const JobFinished = defineEvent(501, "JobFinished", EventLevel.Info, "All items of a job have ended.");
+export const JobCancelled = defineEvent(502, "JobCancelled", EventLevel.Info, "A job was cancelled by its caller.");
+export const ChunkClaimed = defineEvent(
+    503,
+    "ChunkClaimed",
+    EventLevel.Debug,
+    "This instance claimed a chunk of a job.",
+);
+export const ChunkFinished = defineEvent(504, "ChunkFinished", EventLevel.Debug, "All items of a chunk have ended.");
+export const ChunkLost = defineEvent(505, "ChunkLost", EventLevel.Warn, "Another instance has taken over a chunk.");
+export const ItemFailed = defineEvent(506, "ItemFailed", EventLevel.Info, "An item failed after its last attempt.");
+export const BatchShifted = defineEvent(
+    507,
+    "BatchShifted",
+    EventLevel.Info,
+    "Batch streams were cancelled to make room for an online burst.",
+);
 
 // 600: peers and the platform
-export const PeerConnected = define(600, "PeerConnected", EventLevel.Info, "A peer link is open.");
-export const PeerLost = define(601, "PeerLost", EventLevel.Warn, "A peer link closed or went silent.");
-export const PeerRefused = define(
+export const PeerConnected = defineEvent(600, "PeerConnected", EventLevel.Info, "A peer link was opened.");
+export const PeerLost = defineEvent(601, "PeerLost", EventLevel.Warn, "A peer link was closed or went silent.");
+export const PeerRefused = defineEvent(
     602,
     "PeerRefused",
     EventLevel.Warn,
-    "A peer could not prove that it is one of ours.",
+    "A peer failed the handshake and was refused; the text gives the reason.",
+);
+export const KeyValueDown = defineEvent(
+    603,
+    "KeyValueDown",
+    EventLevel.Warn,
+    "The key-value service does not respond.",
 );
-export const KeyValueDown = define(603, "KeyValueDown", EventLevel.Warn, "The key-value service does not answer.");
-export const KeyValueRestored = define(
+export const KeyValueRestored = defineEvent(
     604,
     "KeyValueRestored",
     EventLevel.Info,
-    "The key-value service answers again.",
+    "The key-value service responds again.",
 );
-export const PeerMalformed = define(
+export const PeerMalformed = defineEvent(
     605,
     "PeerMalformed",
     EventLevel.Warn,
-    "A peer sent a frame that can't be read; its link was ended.",
+    "A peer sent a frame that can't be decoded and its link was closed.",
 );
 
-// 700: the gateway before the users' platform
-export const GatewayAnswered = define(
+// 700: the gateway in front of the users' platform
+export const GatewayAnswered = defineEvent(
     700,
     "GatewayAnswered",
     EventLevel.Info,
-    "A forwarded request was answered in full, or its caller left; the text says which.",
+    "A forwarded request was answered in full or its caller disconnected; the text says which.",
 );
-export const GatewayRefused = define(
+export const GatewayRefused = defineEvent(
     701,
     "GatewayRefused",
     EventLevel.Info,
-    "A request ended without an upstream's answer; reason, what was sent and what ran.",
+    "A request ended without an upstream's response; the fields give the reason, what was sent and what ran.",
 );
-export const GatewayAttemptFailed = define(
+export const GatewayAttemptFailed = defineEvent(
     702,
     "GatewayAttemptFailed",
     EventLevel.Info,
-    "One attempt at an upstream failed; whether the request goes elsewhere.",
+    "An attempt at an upstream failed; a field says whether the request is retried elsewhere.",
 );
-export const GatewayUnroutable = define(
+export const GatewayUnroutable = defineEvent(
     703,
     "GatewayUnroutable",
     EventLevel.Info,
     "No route of the configuration in force matches the request.",
 );
-export const GatewayUnauthorized = define(
+export const GatewayUnauthorized = defineEvent(
     704,
     "GatewayUnauthorized",
     EventLevel.Info,
-    "No customer of the configuration in force has the request's key; whether a key was sent, and the version.",
+    "No customer of the configuration in force has the request's key; the fields say whether a key was sent, and the version.",
 );
-export const GatewayQuotaExceeded = define(
+export const GatewayQuotaExceeded = defineEvent(
     705,
     "GatewayQuotaExceeded",
     EventLevel.Info,
-    "A customer's request was over its limit; who counted it, and when the caller may come back.",
+    "A customer's request exceeded its limit; the fields say who counted it and when the caller may retry.",
 );
-export const StoreLost = define(710, "StoreLost", EventLevel.Warn, "A watch of the metadata store failed.");
-export const StoreRegained = define(711, "StoreRegained", EventLevel.Info, "The watch works again.");
-export const StoreReturned = define(
+export const StoreLost = defineEvent(710, "StoreLost", EventLevel.Warn, "A watch on the metadata store failed.");
+export const StoreRegained = defineEvent(
+    711,
+    "StoreRegained",
+    EventLevel.Info,
+    "A watch on the metadata store works again.",
+);
+export const StoreReturned = defineEvent(
     733,
     "StoreReturned",
     EventLevel.Info,
-    "The metadata store answered a call after one that failed; the watches begin anew.",
+    "The metadata store responded to a call after a failed one; the watches are restarted.",
 );
-export const WatchDutyChanged = define(
+export const WatchDutyChanged = defineEvent(
     734,
     "WatchDutyChanged",
     EventLevel.Info,
-    "This instance began or ended watching the store; why, and since when no watching member was heard of.",
+    "This instance started or stopped watching the store; the fields give the reason and for how long no watching member was heard from.",
 );
-export const RegistryAsked = define(
+export const RegistryAsked = defineEvent(
     735,
     "RegistryAsked",
     EventLevel.Info,
-    "A peer was asked for registry entries that this instance lacks: after which revision, and what came of it.",
+    "Registry entries missing on this instance were requested from a peer; the fields give the revision and the outcome.",
 );
-export const ConfigurationTaken = define(
+export const ConfigurationTaken = defineEvent(
     712,
     "ConfigurationTaken",
     EventLevel.Info,
-    "A newer version of the operators' configuration is in force here.",
+    "A newer version of the operators' configuration is in force on this instance.",
 );
-export const UpstreamChanged = define(
+export const UpstreamChanged = defineEvent(
     713,
     "UpstreamChanged",
     EventLevel.Info,
-    "What this instance believes of an upstream changed.",
+    "The state of an upstream as known to this instance changed.",
+);
+export const UpstreamDied = defineEvent(
+    717,
+    "UpstreamDied",
+    EventLevel.Warn,
+    "An upstream closed its connections and can't be reached.",
 );
-export const UpstreamDied = define(717, "UpstreamDied", EventLevel.Warn, "An upstream broke off and can't be reached.");
-export const RegistryEntryUnusable = define(
+export const RegistryEntryUnusable = defineEvent(
     714,
     "RegistryEntryUnusable",
     EventLevel.Warn,
-    "An entry of the store can't be read; it names no upstream.",
+    "An entry of the store can't be read; it is not used as an upstream.",
 );
-export const MemberRegistered = define(
+export const MemberRegistered = defineEvent(
     715,
     "MemberRegistered",
     EventLevel.Info,
-    "This instance's entry stands under a new lease.",
+    "This instance's member entry was written under a new lease.",
 );
-export const HomeSilent = define(
+export const HomeSilent = defineEvent(
     718,
     "HomeSilent",
     EventLevel.Warn,
-    "A home lent no place in time; it is not asked for a second.",
+    "A coordinator granted no slot in time; it is not asked again for a second.",
 );
-export const UpstreamAvoided = define(
+export const UpstreamAvoided = defineEvent(
     719,
     "UpstreamAvoided",
     EventLevel.Warn,
-    "An upstream failed some of its last requests; it gets none for a time.",
+    "An upstream failed some of its recent requests and receives none for a while.",
 );
-export const MembersChanged = define(716, "MembersChanged", EventLevel.Info, "Members came or went.");
-export const SubmissionAccepted = define(
+export const MembersChanged = defineEvent(716, "MembersChanged", EventLevel.Info, "Members joined or left.");
+export const SubmissionAccepted = defineEvent(
     720,
     "SubmissionAccepted",
     EventLevel.Info,
-    "A submission is durable and runs here.",
+    "A submission is durable and runs on this instance.",
+);
+export const SubmissionRefused = defineEvent(
+    721,
+    "SubmissionRefused",
+    EventLevel.Warn,
+    "A submission was not accepted.",
 );
-export const SubmissionRefused = define(721, "SubmissionRefused", EventLevel.Warn, "A submission was not accepted.");
-export const SubmissionTakenOver = define(
+export const SubmissionTakenOver = defineEvent(
     722,
     "SubmissionTakenOver",
     EventLevel.Info,
-    "This instance runs a submission that another one ran.",
+    "This instance took over a submission from another one.",
 );
-export const SubmissionLost = define(
+export const SubmissionLost = defineEvent(
     723,
     "SubmissionLost",
     EventLevel.Info,
-    "This instance no longer runs a submission; the reason.",
+    "This instance no longer runs a submission; a field gives the reason.",
 );
-export const SubmissionEnded = define(724, "SubmissionEnded", EventLevel.Info, "A caller ended a submission.");
-export const ResultsListed = define(
+export const SubmissionEnded = defineEvent(724, "SubmissionEnded", EventLevel.Info, "A caller ended a submission.");
+export const ResultsListed = defineEvent(
     725,
     "ResultsListed",
     EventLevel.Info,
-    "Results of a submission are durable and shown.",
+    "Results of a submission are durable and can be read.",
 );
-export const ItemRetried = define(
+export const ItemRetried = defineEvent(
     726,
     "ItemRetried",
     EventLevel.Info,
-    "An item's run ended without a result; it goes on.",
+    "An attempt at an item ended without a result; the item is retried.",
 );
-export const ItemGivenUp = define(727, "ItemGivenUp", EventLevel.Info, "An item is listed as given up; the reason.");
-export const ItemYielded = define(728, "ItemYielded", EventLevel.Info, "An item gave its place to online work.");
-export const ItemStarted = define(
+export const ItemGivenUp = defineEvent(
+    727,
+    "ItemGivenUp",
+    EventLevel.Info,
+    "An item is listed as given up; a field gives the reason.",
+);
+export const ItemYielded = defineEvent(
+    728,
+    "ItemYielded",
+    EventLevel.Info,
+    "An item released its slot for online work.",
+);
+export const ItemStarted = defineEvent(
     729,
     "ItemStarted",
     EventLevel.Debug,
-    "An item's run began; what was believed there.",
+    "An attempt at an item started; the fields give the known load of its upstream.",
+);
+export const SettingsReloaded = defineEvent(
+    730,
+    "SettingsReloaded",
+    EventLevel.Info,
+    "The settings file was read again.",
 );
-export const SettingsReloaded = define(730, "SettingsReloaded", EventLevel.Info, "The settings were read again.");
-export const MachineEmptied = define(
+export const MachineEmptied = defineEvent(
     731,
     "MachineEmptied",
     EventLevel.Info,
-    "The operators were told that this machine holds nothing.",
+    "The operators were notified that this machine holds no data.",
 );
-export const LinesSuppressed = define(
+export const LinesSuppressed = defineEvent(
     732,
     "LinesSuppressed",
     EventLevel.Warn,
-    "Lines of one event over the bound of a second were counted instead of written.",
+    "Log lines of an event beyond the limit per second were counted instead of written.",
 );
 
-/** Every event, in the order of its number. */
+/** Returns all events, ordered by number. */
 export function getEventDefinitions(): readonly EventDefinition[] {
     return [...definitions].sort((left, right) => left.number - right.number);
 }
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Event catalogue, time line, histograms and logs. */
+/** Event catalogue, time line, metrics and logs. */
 export * as events from "./events.js";
 export * from "./metrics.js";
 export * from "./telemetry.js";
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,6 +1,6 @@
 import * as hdr from "hdr-histogram-js";
 
-/** Names and values that tell series of one metric apart. Few values each: never a request id. */
+/** Label names and values that distinguish the series of a metric. Each label must have few values, so never a request id. */
 export type Labels = Readonly<Record<string, string>>;
 
 const HighestTrackableMicroseconds = 3_600_000_000;
@@ -12,7 +12,7 @@
     value: T;
 }
 
-/** Counters, gauges and latency histograms, written out in the Prometheus text format. */
+/** Counters, gauges and latency histograms, exported in the Prometheus text format. */
 export class Metrics {
     private readonly counters = new Map<string, Series<number>>();
     private readonly gauges = new Map<string, Series<() => number>>();
@@ -27,25 +27,25 @@
         return this.counters.get(formatSeries(name, labels))?.value ?? 0;
     }
 
-    /** A value that is read when the metrics are. */
+    /** Registers a gauge whose value is read each time the metrics are formatted. */
     observeGauge(name: string, labels: Labels, read: () => number): void {
         getOrCreate(this.gauges, name, labels, () => read).value = read;
     }
 
-    /** Records a duration, kept in microseconds. */
+    /** Records a duration. It is stored in microseconds. */
     recordDuration(name: string, labels: Labels, milliseconds: number): void {
         const series = getOrCreate(this.histograms, name, labels, createHistogram);
         const microseconds = Math.round(Math.max(0, milliseconds) * 1_000);
         series.value.recordValue(Math.min(microseconds, HighestTrackableMicroseconds));
     }
 
-    /** The duration in milliseconds that `percentile` (0 to 100) of the recorded ones stay under. */
+    /** Returns a percentile (0 to 100) of the recorded durations, in milliseconds. */
     getPercentile(name: string, labels: Labels, percentile: number): number {
         const series = this.histograms.get(formatSeries(name, labels));
         return series === undefined ? 0 : series.value.getValueAtPercentile(percentile) / 1_000;
     }
 
-    /** Prometheus text format. */
+    /** Formats all metrics in the Prometheus text format. */
     format(): string {
         const lines: string[] = [];
         for (const series of this.counters.values()) {
--- a/packages/telemetry/src/telemetry.ts
+++ b/packages/telemetry/src/telemetry.ts
@@ -9,7 +9,7 @@
     readonly logLevel: "debug" | "info" | "warn" | "error" | "silent";
 }
 
-/** The one way by which parts tell what they do: log, time line and metrics together. */
+/** Records events in the log, the time line and the metrics. */
 export class Telemetry {
     readonly timeLine: timeLine.TimeLine;
     readonly metrics = new metrics.Metrics();
--- a/packages/telemetry/src/timeLine.ts
+++ b/packages/telemetry/src/timeLine.ts
@@ -1,7 +1,7 @@
 import type * as core from "@boragedale/core";
 import type * as events from "./events.js";
 
-/** What an event belongs to. Filled as far as it is known. */
+/** What an event refers to, as far as known. */
 export interface EventSubject {
     readonly request?: string;
     readonly job?: string;
@@ -11,17 +11,17 @@
     readonly text?: string;
 }
 
-/** One event, as the operator face gives it out. */
+/** An event as returned by the operator endpoint. */
 export interface TimeLineEvent extends EventSubject {
     readonly instance: core.InstanceId;
-    /** Logical time: an event that another one caused, even over a peer link, has a lower one. */
+    /** Lamport timestamp: an event has a lower one than the events that it causes, also on other instances. */
     readonly logicalTime: number;
     readonly wallTime: core.WallMilliseconds;
     readonly number: number;
     readonly name: string;
 }
 
-/** Which events are wanted. */
+/** Selects events: those that match all given fields. */
 export interface TimeLineFilter {
     readonly request?: string;
     readonly job?: string;
@@ -31,12 +31,12 @@
 }
 
 /**
- * A bounded ring of events. It carries a Lamport clock: wall clocks of instances differ by more than a request takes,
- * so sorting by them would show an answer before its question.
+ * A ring buffer of events with a Lamport clock. Wall clocks of instances differ by more than the duration of a request, so
+ * sorting by them could show a response before its request.
  */
 export class TimeLine {
     private readonly ring: (TimeLineEvent | undefined)[];
-    private nextSlot = 0;
+    private nextIndex = 0;
     private logicalTime = 0;
 
     constructor(
@@ -47,12 +47,12 @@
         this.ring = new Array<TimeLineEvent | undefined>(capacity).fill(undefined);
     }
 
-    /** The logical time to put on an outgoing message. */
+    /** Returns the logical time to send with an outgoing message. */
     getLogicalTime(): number {
         return this.logicalTime;
     }
 
-    /** Notes the logical time of an incoming message, so that what it causes sorts after what sent it. */
+    /** Advances the clock to the logical time of an incoming message, so that later events sort after its sending. */
     observe(logicalTime: number): void {
         this.logicalTime = Math.max(this.logicalTime, logicalTime);
     }
@@ -67,13 +67,13 @@
             number: definition.number,
             name: definition.name,
         };
-        this.ring[this.nextSlot] = event;
-        this.nextSlot = (this.nextSlot + 1) % this.ring.length;
+        this.ring[this.nextIndex] = event;
+        this.nextIndex = (this.nextIndex + 1) % this.ring.length;
         return event;
     }
 
     read(filter: TimeLineFilter = {}): readonly TimeLineEvent[] {
-        const ordered = [...this.ring.slice(this.nextSlot), ...this.ring.slice(0, this.nextSlot)];
+        const ordered = [...this.ring.slice(this.nextIndex), ...this.ring.slice(0, this.nextIndex)];
         return ordered.filter(event => event !== undefined).filter(event => matchesFilter(event, filter));
     }
 }
