--- a/packages/protocol/src/webSocketPeerNetwork.ts
+++ b/packages/protocol/src/webSocketPeerNetwork.ts
@@ -30,8 +30,8 @@
     readonly createHeartbeat: () => types.Heartbeat;
     /** Called when a peer can't be reached or has gone silent. */
     readonly onUnreachable?: (peer: core.InstanceId) => void;
-    readonly heartbeatMilliseconds?: number;
-    readonly idleMilliseconds?: number;
+    readonly heartbeatIntervalMilliseconds?: number;
+    readonly idleTimeoutMilliseconds?: number;
 }
 
 type AnyHandler = (message: types.Message, from: core.InstanceId) => Promise<types.Message | undefined>;
@@ -151,7 +151,8 @@
     override getSilentPeers(): readonly core.InstanceId[] {
         const now = this.options.clock.now();
         const limit =
-            SilentIntervalsUntilReported * (this.options.heartbeatMilliseconds ?? HeartbeatIntervalMilliseconds);
+            SilentIntervalsUntilReported *
+            (this.options.heartbeatIntervalMilliseconds ?? HeartbeatIntervalMilliseconds);
         const silentConnected = this.getConnectedPeers().filter(peer => {
             const link = this.tryGetLink(peer, types.Lane.Control);
             return link !== undefined && now - link.lastReceivedAt > limit;
@@ -340,7 +341,7 @@
 
     /** In each interval, connects to the neighbours, sends heartbeats, and closes silent and idle links. */
     private async runHeartbeats(): Promise<void> {
-        const interval = this.options.heartbeatMilliseconds ?? HeartbeatIntervalMilliseconds;
+        const interval = this.options.heartbeatIntervalMilliseconds ?? HeartbeatIntervalMilliseconds;
         const signal = this.stopController.signal;
         while (!signal.aborted) {
             const neighbours = this.options.getNeighbours();
@@ -379,7 +380,7 @@
             return false;
         }
         const isKept = !link.terms.isDialled || (neighbourIds.has(link.peer) && link.lane === types.Lane.Control);
-        if (!isKept && now - link.lastUsedAt > (this.options.idleMilliseconds ?? IdleTimeoutMilliseconds)) {
+        if (!isKept && now - link.lastUsedAt > (this.options.idleTimeoutMilliseconds ?? IdleTimeoutMilliseconds)) {
             link.connection.terminate();
             return false;
         }
