--- a/packages/daemon/src/composition.ts
+++ b/packages/daemon/src/composition.ts
@@ -117,7 +117,8 @@
     const { settings, getSettings, clock, log, view, lifecycle } = components;
     const address = settingsReader.getRequiredAddress(settings.peerAddress, "peerAddress");
     const id = gateway.createMemberId(settings.instance, gateway.createNonce().slice(0, 8));
-    const lateBound: { members?: gateway.MemberDirectory; registry?: gateway.FleetRegistry } = {};
+    // Created after the network is listening, but needed by its callbacks.
+    const late: { members?: gateway.MemberDirectory; registry?: gateway.FleetRegistry } = {};
     const network = await protocol.WebSocketPeerNetwork.start({
         instance: id,
         keys: [settings.peerKey],
@@ -126,18 +127,15 @@
         host: address.host,
         port: address.port,
         getNeighbours: () =>
-            lateBound.members === undefined
-                ? []
-                : peers.chooseNeighbours(lateBound.members, getHubs(components, lateBound.registry)),
+            late.members === undefined ? [] : peers.chooseNeighbours(late.members, getHubs(components, late.registry)),
         getSeeds: () => {
             const seeds = getSettings().peerSeeds.filter(seed => seed !== settings.peerAddress);
             return seeds.map(seed => `ws://${seed}`);
         },
-        tryGetAddress: peer =>
-            lateBound.members === undefined ? undefined : peers.tryGetAddress(lateBound.members, peer),
+        tryGetAddress: peer => (late.members === undefined ? undefined : peers.tryGetAddress(late.members, peer)),
         createHeartbeat: () => ({
             kind: protocol.MessageKind.Heartbeat,
-            ...gateway.describeRegistry(view, lateBound.registry?.isWatching() === true, clock.now()),
+            ...gateway.describeRegistry(view, late.registry?.isWatching() === true, clock.now()),
             logicalTime: 0,
             state: lifecycle.isStopping ? core.LifeState.Leaving : core.LifeState.Live,
         }),
@@ -148,9 +146,9 @@
         dataCentre: settings.dataCentre,
         peerAddress: `${address.host}:${network.getPort()}`,
     });
-    lateBound.members = members;
+    late.members = members;
     container.register({ network: awilix.asValue(network), members: awilix.asValue(members) });
-    lateBound.registry = components.registry;
+    late.registry = components.registry;
 }
 
 /** Members that all other members, or all others of their data centre, stay connected to. */
--- a/packages/daemon/src/settingsWatcher.ts
+++ b/packages/daemon/src/settingsWatcher.ts
@@ -43,9 +43,9 @@
             this.options.onRead([], read.findings);
             return;
         }
-        const previous = this.current;
+        const former = this.current;
         this.current = read.value;
-        this.options.onRead(listChanges(previous, read.value), []);
+        this.options.onRead(listChanges(former, read.value), []);
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
@@ -53,7 +53,7 @@
     }
 }
 
-function listChanges(previous: settingsReader.Settings, current: settingsReader.Settings): string[] {
+function listChanges(former: settingsReader.Settings, current: settingsReader.Settings): string[] {
     const names = Object.keys(current) as (keyof settingsReader.Settings)[];
-    return names.filter(name => JSON.stringify(previous[name]) !== JSON.stringify(current[name]));
+    return names.filter(name => JSON.stringify(former[name]) !== JSON.stringify(current[name]));
 }
