--- a/packages/daemon/src/settingsKeeper.ts
+++ b/packages/daemon/src/settingsWatcher.ts
@@ -2,37 +2,41 @@
 import type * as core from "@boragedale/core";
 import * as settingsReader from "./settings.js";
 
-/** The platform also changes the file without a signal; a look at its time costs one system call. */
-const LookMilliseconds = 2_000;
+/** Interval at which the file is checked, since the platform may change it without a signal. A check costs one system call. */
+const FileCheckIntervalMilliseconds = 2_000;
 
-export interface SettingsKeeperOptions {
+export interface SettingsWatcherOptions {
     readonly file: string;
     readonly initial: settingsReader.Settings;
-    /** Told of each reading: the names of what changed, or the findings that keep the former settings in force. */
+    /** Called after each read with the names of the changed settings, or the findings because of which the previous ones are kept. */
     readonly onRead: (changed: readonly string[], findings: readonly core.Finding[]) => void;
 }
 
 /**
- * Keeps the settings as the file has them. What names a face or this machine stays as it was at the start, since it can't
- * change under open connections; seeds, retention and the times of a stop are read anew where they are used.
+ * Holds the current settings and reloads them when the file changes. Peer seeds and shutdown times are read from here each time
+ * they are used. The other settings take effect at the next start; addresses and names can't change under open connections.
  */
-export class SettingsKeeper implements AsyncDisposable {
+export class SettingsWatcher implements AsyncDisposable {
     private current: settingsReader.Settings;
 
-    constructor(private readonly options: SettingsKeeperOptions) {
+    constructor(private readonly options: SettingsWatcherOptions) {
         this.current = options.initial;
-        fileSystem.watchFile(options.file, { interval: LookMilliseconds, persistent: false }, (now, before) => {
-            if (now.mtimeMs !== before.mtimeMs) {
-                this.reload();
-            }
-        });
+        fileSystem.watchFile(
+            options.file,
+            { interval: FileCheckIntervalMilliseconds, persistent: false },
+            (now, before) => {
+                if (now.mtimeMs !== before.mtimeMs) {
+                    this.reload();
+                }
+            },
+        );
     }
 
     get(): settingsReader.Settings {
         return this.current;
     }
 
-    /** Reads the file again; a file with findings changes nothing. */
+    /** Reads the file again. Keeps the current settings if the file has findings. */
     reload(): void {
         const read = settingsReader.readSettingsFile(this.options.file);
         if (!read.ok) {
