--- a/packages/work/src/callTable.ts
+++ b/packages/work/src/callTable.ts
@@ -2,8 +2,8 @@
 import * as types from "./types.js";
 
 /**
- * The unsealed calls of a shard, with changes that are kept apart until they are committed: when the commit fails,
- * the draft is dropped and the table is as it was.
+ * The unsealed calls of a shard. Changes are collected in a draft until they are committed; if the commit fails, the
+ * draft is discarded and the table is unchanged.
  */
 export class CallTable {
     private readonly calls = new Map<string, types.CallRecord>();
@@ -64,7 +64,7 @@
         return this.changed.size > 0;
     }
 
-    /** Every unsealed call as it will be once this draft is committed. */
+    /** Iterates over the unsealed calls as they will be once this draft is committed. */
     *getAll(): Iterable<types.CallRecord> {
         for (const [name, call] of this.calls) {
             if (!this.changed.has(name)) {
@@ -79,7 +79,7 @@
     }
 }
 
-/** One text for caller and key that no other pair gives. */
+/** Returns a name that is unique for each pair of caller and key. */
 export function getCallName(identity: types.CallIdentity): string {
     return `${encodeURIComponent(identity.caller)}/${identity.key}`;
 }
--- a/packages/work/src/checkpointer.ts
+++ b/packages/work/src/checkpointer.ts
@@ -9,7 +9,7 @@
 
 export interface CheckpointerOptions {
     readonly boards: boardStore.BoardStore;
-    readonly vault: files.FileVault;
+    readonly vault: files.ContentStore;
     readonly clock: core.Clock;
     readonly createId: () => string;
 }
--- a/packages/work/src/chunkLoader.ts
+++ b/packages/work/src/chunkLoader.ts
@@ -8,7 +8,7 @@
 
 export interface ChunkLoaderOptions {
     readonly keyValue: backing.KeyValueService;
-    readonly vault: files.FileVault;
+    readonly vault: files.ContentStore;
     readonly clock: core.Clock;
     readonly signal: AbortSignal;
 }
--- a/packages/work/src/commitPacer.ts
+++ b/packages/work/src/commitPacer.ts
@@ -1,64 +1,67 @@
 import type * as core from "@boragedale/core";
 
 export interface CommitPacerSettings {
-    /** Commits in a second that the shard may always make. */
+    /** Rate of commits that the shard may always make. */
     readonly commitsPerSecond: number;
 }
 
-/** Commits that may follow each other at once after a quiet time, so that few bookings don't wait at all. */
-const Burst = 4;
-/** Requests that a commit should carry before its wait is not made longer any more. */
-const WantedGroup = 10;
-const LongestStretch = 2;
-/** Weight of the newest commit in the estimate of the arrival rate. */
+/** Commits that may follow each other immediately after an idle time, so that requests at a low rate don't wait. */
+const BurstCommits = 4;
+/** Requests per commit from which the interval between commits is not extended. */
+const TargetGroupSize = 10;
+const MaximumIntervalFactor = 2;
+/** Weight of the latest commit in the moving average of the request rate. */
 const RateWeight = 0.2;
 
 /**
- * Says when a shard may commit next. Made for bookings that come one by one as well as by the hundred: the service
- * counts each write, while each wait is added to an answer. At low load a request is committed at once. At high load
- * commits keep their rate and each carries more. Between the two the wait is stretched, but only where the stretch
- * fills the group: with fewer requests it would cost latency and save little.
+ * Determines when a shard may commit next, whether requests arrive one at a time or by the hundred. Each write counts
+ * against the limit of the key-value service, and each wait adds to the latency of an answer. At low load a request is
+ * committed immediately. At high load the commit rate stays constant and each commit contains more requests. In between
+ * the interval is extended, but only if that fills the group; with fewer requests it would add latency and save little.
  */
 export class CommitPacer {
-    private tokens = Burst;
-    private countedAt: core.MonotonicMilliseconds;
-    /** Requests in a millisecond, as lately seen. */
-    private arrivalRate = 0;
+    private tokens = BurstCommits;
+    private refilledAt: core.MonotonicMilliseconds;
+    /** Moving average of the request rate. */
+    private requestsPerMillisecond = 0;
     private committedAt: core.MonotonicMilliseconds;
 
     constructor(
         private readonly settings: CommitPacerSettings,
         now: core.MonotonicMilliseconds,
     ) {
-        this.countedAt = now;
+        this.refilledAt = now;
         this.committedAt = now;
     }
 
-    /** Milliseconds until the next commit may be made; 0 for now. */
-    getWait(now: core.MonotonicMilliseconds): number {
-        this.earn(now);
-        return this.tokens >= 1 ? 0 : (1 - this.tokens) * this.getInterval();
+    /** Returns the time until the next commit may be made, or 0 if it may be made now. */
+    getWaitMilliseconds(now: core.MonotonicMilliseconds): number {
+        this.refillTokens(now);
+        return this.tokens >= 1 ? 0 : (1 - this.tokens) * this.getIntervalMilliseconds();
     }
 
-    /** A commit with so many requests is made now. */
-    noteCommit(now: core.MonotonicMilliseconds, requests: number): void {
-        this.earn(now);
+    /** Records that a commit with the given number of requests is made now. */
+    recordCommit(now: core.MonotonicMilliseconds, requests: number): void {
+        this.refillTokens(now);
         this.tokens = Math.max(0, this.tokens - 1);
         const rate = requests / Math.max(1, now - this.committedAt);
-        this.arrivalRate += RateWeight * (rate - this.arrivalRate);
+        this.requestsPerMillisecond += RateWeight * (rate - this.requestsPerMillisecond);
         this.committedAt = now;
     }
 
-    private earn(now: core.MonotonicMilliseconds): void {
-        this.tokens = Math.min(Burst, this.tokens + (now - this.countedAt) / this.getInterval());
-        this.countedAt = now;
+    private refillTokens(now: core.MonotonicMilliseconds): void {
+        this.tokens = Math.min(BurstCommits, this.tokens + (now - this.refilledAt) / this.getIntervalMilliseconds());
+        this.refilledAt = now;
     }
 
-    /** Milliseconds from one commit to the next while requests wait. */
-    private getInterval(): number {
-        const shortest = 1_000 / this.settings.commitsPerSecond;
-        const isFullAnyway = this.arrivalRate * shortest >= WantedGroup;
-        const isFullStretched = this.arrivalRate * shortest * LongestStretch >= WantedGroup;
-        return isFullStretched && !isFullAnyway ? shortest * LongestStretch : shortest;
+    /** Returns the time between commits while requests are waiting. */
+    private getIntervalMilliseconds(): number {
+        const shortestMilliseconds = 1_000 / this.settings.commitsPerSecond;
+        const isFullAtShortest = this.requestsPerMillisecond * shortestMilliseconds >= TargetGroupSize;
+        const isFullAtLongest =
+            this.requestsPerMillisecond * shortestMilliseconds * MaximumIntervalFactor >= TargetGroupSize;
+        return isFullAtLongest && !isFullAtShortest
+            ? shortestMilliseconds * MaximumIntervalFactor
+            : shortestMilliseconds;
     }
 }
--- a/packages/work/src/files.ts
+++ b/packages/work/src/files.ts
@@ -4,7 +4,7 @@
 import * as jobRecords from "./jobRecords.js";
 import * as swap from "./swap.js";
 
-export interface FileVaultOptions {
+export interface ContentStoreOptions {
     readonly keyValue: backing.KeyValueService;
     readonly clock: core.Clock;
 }
@@ -15,7 +15,7 @@
 export const PieceBytes = 900_000;
 const InlineBytes = 64_000;
 /** How long a write is tried again before the upload is refused. */
-const PatienceMilliseconds = 10_000;
+const RetryTimeoutMilliseconds = 10_000;
 const RetryMilliseconds = 250;
 
 /** Ends a stream of content that can't be completed. */
@@ -31,8 +31,8 @@
 }
 
 /** Content of any size in values under the size limit, written and read piece by piece. */
-export class FileVault {
-    constructor(private readonly options: FileVaultOptions) {}
+export class ContentStore {
+    constructor(private readonly options: ContentStoreOptions) {}
 
     /** Writes the pieces of a file as they come; memory holds one piece. The file exists once its record is written. */
     async writePieces(
@@ -41,7 +41,7 @@
     ): Promise<StoreResult & { readonly pieces: readonly number[]; readonly inline?: Uint8Array }> {
         const pieces: number[] = [];
         let waiting: Uint8Array | undefined;
-        for await (const piece of cutPieces(content)) {
+        for await (const piece of splitIntoPieces(content)) {
             if (waiting !== undefined) {
                 const stored = await this.writePiece(file, pieces.length, waiting);
                 if (!stored.ok) {
@@ -99,7 +99,7 @@
     /** Creates a value that nobody else writes; tries again for a while when the service is busy or down. */
     async create(key: string, value: Uint8Array, purpose: backing.CallPurpose): Promise<StoreResult> {
         const { keyValue, clock } = this.options;
-        const giveUpAt = clock.now() + PatienceMilliseconds;
+        const giveUpAt = clock.now() + RetryTimeoutMilliseconds;
         for (;;) {
             const written = await swap.writeValue(keyValue, clock, { key, expectedRevision: 0, value, purpose });
             switch (written.kind) {
@@ -125,7 +125,7 @@
     /** Reads a value that must be there, trying again for a while. Throws `ContentUnavailableError`. */
     async readValue(key: string): Promise<Uint8Array> {
         const { keyValue, clock } = this.options;
-        const giveUpAt = clock.now() + PatienceMilliseconds;
+        const giveUpAt = clock.now() + RetryTimeoutMilliseconds;
         for (;;) {
             const entry = await keyValue.get(key, backing.CallPurpose.Read);
             if (entry.ok && entry.value !== undefined) {
@@ -164,7 +164,7 @@
 }
 
 /** Joins and cuts what the network delivers into pieces of `PieceBytes`. */
-async function* cutPieces(content: AsyncIterable<Uint8Array>): AsyncIterable<Uint8Array> {
+async function* splitIntoPieces(content: AsyncIterable<Uint8Array>): AsyncIterable<Uint8Array> {
     let parts: Uint8Array[] = [];
     let bytes = 0;
     for await (let part of content) {
--- a/packages/work/src/index.ts
+++ b/packages/work/src/index.ts
@@ -1,4 +1,4 @@
-/** Ledger of non-idempotent calls, jobs, chunks, results, cancel. */
+/** The ledger of non-idempotent calls, and batch jobs: submission, chunks, results and cancellation. */
 export * from "./types.js";
 export * from "./services.js";
 export * from "./ledger.js";
--- a/packages/work/src/jobRetention.ts
+++ b/packages/work/src/jobRetention.ts
@@ -20,10 +20,10 @@
  * before the record that names them, so that an interrupted removal is found and finished by the next one.
  */
 export class JobRetention {
-    private readonly vault: files.FileVault;
+    private readonly vault: files.ContentStore;
 
     constructor(private readonly options: JobRetentionOptions) {
-        this.vault = new files.FileVault(options);
+        this.vault = new files.ContentStore(options);
     }
 
     /** Removes what is due now; stops early, without harm, when the service doesn't answer or `signal` is aborted. */
--- a/packages/work/src/jobRunner.ts
+++ b/packages/work/src/jobRunner.ts
@@ -64,7 +64,7 @@
  */
 export class JobRunner implements AsyncDisposable {
     private readonly boards: boardStore.BoardStore;
-    private readonly vault: files.FileVault;
+    private readonly vault: files.ContentStore;
     private readonly createId: () => string;
     private readonly process: string;
     private readonly jobs = new Map<string, activeJob.ActiveJob>();
@@ -81,7 +81,7 @@
         this.process = this.createId();
         this.reads = new claimPlan.ReadBudget(options.clock.now());
         this.boards = new boardStore.BoardStore({ ...options, createId: this.createId });
-        this.vault = new files.FileVault(options);
+        this.vault = new files.ContentStore(options);
         this.items = new itemRunner.ItemRunner({
             ...options,
             signal: this.stopping.signal,
--- a/packages/work/src/jobStore.ts
+++ b/packages/work/src/jobStore.ts
@@ -36,14 +36,14 @@
 
 /** Files and jobs as values of the platform's key-value service; this process keeps nothing that must last. */
 export class KeyValueJobStore extends services.JobStore {
-    private readonly vault: files.FileVault;
+    private readonly vault: files.ContentStore;
     private readonly boards: boardStore.BoardStore;
     private readonly createId: () => string;
 
     constructor(private readonly options: KeyValueJobStoreOptions) {
         super();
         this.createId = options.createId ?? crypto.randomUUID;
-        this.vault = new files.FileVault(options);
+        this.vault = new files.ContentStore(options);
         this.boards = new boardStore.BoardStore({ ...options, createId: this.createId });
     }
 
--- a/packages/work/src/ledgerDecision.ts
+++ b/packages/work/src/ledgerDecision.ts
@@ -2,7 +2,7 @@
 import * as requests from "./ledgerRequests.js";
 import * as types from "./types.js";
 
-/** The calls of one shard, as a holder sees them while it decides. */
+/** The calls of one shard while its holder decides requests. */
 export interface CallTable {
     tryGet(identity: types.CallIdentity): types.CallRecord | undefined;
     put(record: types.CallRecord): void;
@@ -13,16 +13,16 @@
 
 export interface DecisionContext {
     readonly now: core.WallMilliseconds;
-    /** False while the shard's head has no room for further calls. */
+    /** False while the shard's head is full. */
     readonly mayStart: boolean;
-    isGone(instance: core.InstanceId): boolean;
+    isRemoved(instance: core.InstanceId): boolean;
 }
 
 /**
- * Decides one request on a shard and changes the table accordingly. Made for the same key arriving at several
- * instances at once, again after a kill, and late from a holder that was paused. It prevents a second run: a key is
- * started only where the table has no start of it that may have been sent, and whatever is decided here counts only
- * once the table is committed under the revision it was read at.
+ * Decides one request on a shard and changes the table accordingly. The same key may arrive at several instances at
+ * once, again after a crash, or late from a holder that was paused. No call runs twice: a call is started only if the
+ * table has no start of it that may have been sent, and a decision takes effect only when the table is committed
+ * against the revision at which it was read.
  */
 export function decide(
     table: CallTable,
@@ -59,7 +59,7 @@
 function decideBegin(table: CallTable, request: BeginRequest, context: DecisionContext): types.BeginOutcome {
     const current = table.tryGet(request.call);
     if (current === undefined) {
-        return start(table, request, context);
+        return startCall(table, request, context);
     }
     if (current.fingerprint !== request.call.fingerprint) {
         return { kind: types.BeginKind.KeyReused };
@@ -82,20 +82,20 @@
     current: types.CallRecord,
     context: DecisionContext,
 ): types.BeginOutcome {
-    // The same request again, since the reply to the first was lost between the instances.
+    // A retry of the same request: the reply to the first one was lost between the instances.
     if (current.startId === request.startId) {
         return { kind: types.BeginKind.Started, record: current };
     }
     const wasNeverSent = current.startId === request.neverSent;
     if (wasNeverSent && current.attempt === 1) {
-        return start(table, request, context);
+        return startCall(table, request, context);
     }
-    // A later attempt follows one that may have been sent: that it wasn't sent itself doesn't free the key.
-    const isOver = wasNeverSent || isOrphaned(current, context);
-    return { kind: isOver ? types.BeginKind.Orphaned : types.BeginKind.InFlight, record: current };
+    // A later attempt follows one that may have been sent, so the key isn't free even if this attempt was never sent.
+    const mayTakeOver = wasNeverSent || isOrphaned(current, context);
+    return { kind: mayTakeOver ? types.BeginKind.Orphaned : types.BeginKind.InFlight, record: current };
 }
 
-function start(table: CallTable, request: BeginRequest, context: DecisionContext): types.BeginOutcome {
+function startCall(table: CallTable, request: BeginRequest, context: DecisionContext): types.BeginOutcome {
     const { caller, key, fingerprint, service } = request.call;
     if (!context.mayStart) {
         return { kind: types.BeginKind.Unavailable, text: "too many calls are open" };
@@ -116,8 +116,8 @@
 }
 
 /**
- * The first outcome stays. One that arrives after the call was taken over or given up is taken all the same: the call
- * did run, and its caller is better served by the true result than by `OutcomeUnknown`.
+ * The first recorded outcome is final. An outcome that arrives after the call was taken over or marked as unknown is
+ * still recorded: the call did run, and the actual result is more useful to its caller than `OutcomeUnknown`.
  */
 function decideFinish(table: CallTable, request: FinishRequest, context: DecisionContext): requests.LedgerReply {
     const current = table.tryGet(request.record);
@@ -145,7 +145,7 @@
         return { kind: requests.LedgerReplyKind.Superseded };
     }
     if (current.attempt > 1) {
-        // An earlier attempt may have been sent: freeing the key would allow a second run.
+        // An earlier attempt may have been sent, so freeing the key would allow a second run.
         const record = { ...current, isOrphaned: true };
         table.put(record);
         return { kind: requests.LedgerReplyKind.Recorded, record };
@@ -202,5 +202,5 @@
 }
 
 function isOrphaned(record: types.CallRecord, context: DecisionContext): boolean {
-    return record.isOrphaned === true || context.isGone(record.instance);
+    return record.isOrphaned === true || context.isRemoved(record.instance);
 }
--- a/packages/work/src/ledgerHead.ts
+++ b/packages/work/src/ledgerHead.ts
@@ -14,7 +14,7 @@
     readonly createId: () => string;
 }
 
-/** What the shard's key holds. The nonce makes every write unlike any other, so that an own one is recognised. */
+/** The value stored under the shard's key. The nonce makes every write unique, so that a writer recognises its own. */
 interface StoredHead {
     readonly nonce: string;
     readonly calls: readonly types.CallRecord[];
@@ -29,11 +29,11 @@
 
 export enum CommitKind {
     Committed = "Committed",
-    /** Another holder wrote first; its head is loaded now. */
+    /** Another holder wrote first, and its head is loaded. */
     Fenced = "Fenced",
     /** Nothing was written. */
     Failed = "Failed",
-    /** It could not be found out whether it was written. */
+    /** It is not known whether the head was written. */
     Unknown = "Unknown",
 }
 
@@ -42,39 +42,45 @@
     readonly text: string;
 }
 
-/** Finished calls stay in the head until they take this much; every commit writes the head anew. */
-const SealBytes = 48_000;
-const SealCalls = 256;
+/**
+ * Finished calls are moved from the head into a segment once they reach one of these sizes, since every commit
+ * rewrites the whole head.
+ */
+const SealThresholdBytes = 48_000;
+const SealThresholdCalls = 256;
 const CallOverheadBytes = 200;
 
-/** The head of one shard: loads it, and writes it under the revision that it was read at. */
+/**
+ * The head of one shard: a single value with the shard's unfinished and latest finished calls and the index of its
+ * sealed ones. It is written by compare-and-swap against the revision at which it was read.
+ */
 export class LedgerHead {
     private head: LoadedHead | undefined;
     private readonly sealed: sealedCalls.SealedCalls;
 
     constructor(private readonly options: LedgerHeadOptions) {
         const { shard, keyValue, createId } = options;
-        this.sealed = new sealedCalls.SealedCalls(shard, keyValue, new files.FileVault(options), createId);
+        this.sealed = new sealedCalls.SealedCalls(shard, keyValue, new files.ContentStore(options), createId);
     }
 
-    /** Makes sure that a head is loaded, however old; returns why that failed. */
+    /** Loads the head unless one is loaded, which may be outdated. Returns the reason if that fails. */
     async ensureLoaded(): Promise<string | undefined> {
         return this.head === undefined ? this.reload() : undefined;
     }
 
-    /** Reads the head again; returns why that failed. */
+    /** Reads the head again. Returns the reason if that fails. */
     async reload(): Promise<string | undefined> {
         const { keyValue, shard } = this.options;
         const entry = await keyValue.get(getHeadKey(shard), backing.CallPurpose.Ledger);
-        return entry.ok ? this.adopt(entry.value) : entry.failure.text;
+        return entry.ok ? this.loadEntry(entry.value) : entry.failure.text;
     }
 
-    /** Revision of the head that is loaded. */
+    /** Returns the revision of the loaded head. */
     tryGetRevision(): backing.Revision | undefined {
         return this.head?.revision;
     }
 
-    /** A draft over the calls of the head and those sealed ones that `identities` name. */
+    /** Creates a draft of the calls in the head and of the sealed calls listed in `identities`. */
     async createDraft(identities: readonly types.CallIdentity[]): Promise<{
         readonly draft: callTable.CallDraft;
         readonly unreadable: ReadonlySet<string>;
@@ -103,24 +109,24 @@
         const open = calls.filter(call => call.state !== types.CallState.Finished);
         const outcome = await this.write(head, open, sealed);
         if (outcome.kind === CommitKind.Fenced || outcome.kind === CommitKind.Failed) {
-            await this.sealed.unseal(head.sealed, sealed);
+            await this.sealed.removeUncommitted(head.sealed, sealed);
         }
         return outcome;
     }
 
-    /** Removes calls that ended before `endedBefore`, and those never settled that started before it. */
-    async removeOld(endedBefore: core.WallMilliseconds): Promise<void> {
+    /** Removes calls that ended before `endedBefore`, and unfinished ones that started before it. */
+    async removeExpired(endedBefore: core.WallMilliseconds): Promise<void> {
         if ((await this.ensureLoaded()) !== undefined) {
             return;
         }
         const head = this.getHead();
-        const sealed = await this.sealed.removeOld(head.sealed, endedBefore);
+        const sealed = await this.sealed.removeExpired(head.sealed, endedBefore);
         const all = [...head.table.getAll()];
-        const over = all.filter(call => isOver(call, endedBefore));
-        if (!(await this.sealed.removeBodies(over))) {
+        const expired = all.filter(call => isExpired(call, endedBefore));
+        if (!(await this.sealed.removeBodies(expired))) {
             return;
         }
-        const kept = all.filter(call => !isOver(call, endedBefore));
+        const kept = all.filter(call => !isExpired(call, endedBefore));
         const hasChanged =
             kept.length < all.length ||
             sealed.segments.length < head.sealed.segments.length ||
@@ -147,7 +153,7 @@
                 await this.load({ revision: written.revision, table: new callTable.CallTable(calls), sealed });
                 return { kind: CommitKind.Committed, text: "" };
             case swap.WriteKind.Conflict: {
-                const failure = await this.adopt(written.current);
+                const failure = await this.loadEntry(written.current);
                 return { kind: failure === undefined ? CommitKind.Fenced : CommitKind.Failed, text: failure ?? "" };
             }
             case swap.WriteKind.Failed:
@@ -158,7 +164,7 @@
         }
     }
 
-    private async adopt(entry: backing.Entry | undefined): Promise<string | undefined> {
+    private async loadEntry(entry: backing.Entry | undefined): Promise<string | undefined> {
         const revision = entry?.revision ?? 0;
         if (this.head?.revision === revision) {
             return undefined;
@@ -169,9 +175,9 @@
         return this.load({ revision, table: new callTable.CallTable(stored?.calls ?? []), sealed });
     }
 
-    /** A head whose index of sealed calls can't be read is not used: a finished key would look new. */
+    /** Doesn't use a head whose index of sealed calls can't be read: a finished call would appear to be new. */
     private async load(head: LoadedHead): Promise<string | undefined> {
-        const failure = await this.sealed.adopt(head.sealed);
+        const failure = await this.sealed.loadIndex(head.sealed);
         this.head = failure === undefined ? head : undefined;
         return failure;
     }
@@ -185,15 +191,18 @@
     return `ledger/head/${String(shard).padStart(4, "0")}`;
 }
 
-/** Bytes that a finished call takes in a head or segment, roughly. */
+/** Estimates the size of a finished call in a head or segment. */
 export function estimateBytes(call: types.CallRecord): number {
     return CallOverheadBytes + (call.result?.body.byteLength ?? 0);
 }
 
 function isSealDue(finished: readonly types.CallRecord[]): boolean {
-    return finished.length >= SealCalls || finished.reduce((sum, call) => sum + estimateBytes(call), 0) >= SealBytes;
+    return (
+        finished.length >= SealThresholdCalls ||
+        finished.reduce((sum, call) => sum + estimateBytes(call), 0) >= SealThresholdBytes
+    );
 }
 
-function isOver(call: types.CallRecord, endedBefore: core.WallMilliseconds): boolean {
+function isExpired(call: types.CallRecord, endedBefore: core.WallMilliseconds): boolean {
     return (call.endedAt ?? call.startedAt) < endedBefore;
 }
--- a/packages/work/src/ledgerReplies.ts
+++ b/packages/work/src/ledgerReplies.ts
@@ -2,15 +2,15 @@
 import * as requests from "./ledgerRequests.js";
 import * as types from "./types.js";
 
-/** What the replies of holders mean to the callers of the ledger. */
+/** Converts the replies of shard holders into the outcomes that the ledger returns. */
 
-const ComeBackMilliseconds = 2_000;
+const RetryAfterMilliseconds = 2_000;
 
 export function toBeginOutcome(reply: requests.LedgerReply | undefined): types.BeginOutcome {
     if (reply?.kind === requests.LedgerReplyKind.Begun) {
         return reply.outcome;
     }
-    const text = reply?.kind === requests.LedgerReplyKind.Unavailable ? reply.text : "no answer within the bound";
+    const text = reply?.kind === requests.LedgerReplyKind.Unavailable ? reply.text : "no reply within the timeout";
     return { kind: types.BeginKind.Unavailable, text };
 }
 
@@ -25,7 +25,7 @@
     return core.createSuccess(records);
 }
 
-export function createUnreadable(): types.BeginOutcome {
+export function createBodyUnreadable(): types.BeginOutcome {
     return { kind: types.BeginKind.Unavailable, text: "the result's body can't be read now" };
 }
 
@@ -34,6 +34,6 @@
         kind: core.RefusalKind.KeyValueDown,
         message: core.messages.KeyValueDown,
         certainty: core.RunCertainty.NotRun,
-        retryAfterMilliseconds: ComeBackMilliseconds,
+        retryAfterMilliseconds: RetryAfterMilliseconds,
     });
 }
--- a/packages/work/src/ledgerRequests.ts
+++ b/packages/work/src/ledgerRequests.ts
@@ -1,7 +1,7 @@
 import type * as core from "@boragedale/core";
 import type * as types from "./types.js";
 
-/** What an instance asks of a shard's holder. Each may be asked again: asking twice has the effect of once. */
+/** Requests that an instance sends to a shard's holder. All of them are idempotent. */
 export enum LedgerRequestKind {
     Begin = "Begin",
     Finish = "Finish",
@@ -9,12 +9,12 @@
     TakeOver = "TakeOver",
     MarkUnknown = "MarkUnknown",
     Read = "Read",
-    /** Read, but the reply may be held until the call has ended. */
+    /** Like `Read`, but the holder may delay the reply until the call has ended. */
     Wait = "Wait",
     ListUnknown = "ListUnknown",
-    /** Calls started by instances that are gone, which nobody has asked for again. */
+    /** Lists calls whose instance was removed from the fleet and that no other instance has taken over. */
     ListOrphaned = "ListOrphaned",
-    /** Asked of the instance that started a call, not of the holder. */
+    /** Sent to the instance that started a call, not to the shard's holder. */
     IsRunning = "IsRunning",
 }
 
@@ -24,7 +24,7 @@
           readonly call: types.CallRequest;
           readonly instance: core.InstanceId;
           readonly startId: string;
-          /** A start of this call that the instance which made it says was never sent. */
+          /** Id of an earlier start of this call, which its instance reports as never sent. */
           readonly neverSent?: string;
       }
     | {
@@ -46,20 +46,20 @@
     | { readonly kind: LedgerRequestKind.ListOrphaned }
     | { readonly kind: LedgerRequestKind.IsRunning; readonly startId: string };
 
-/** What the instance that started a call says of it. */
+/** State of a start, as reported by the instance that made it. */
 export enum RunState {
     Running = "Running",
-    /** This process made the start and gave it up before sending. */
+    /** This process made the start and abandoned it before sending. */
     NeverSent = "NeverSent",
-    /** An earlier process of the same name made the start: it may have been sent. */
+    /** An earlier process of the same instance made the start; the call may have been sent. */
     Lost = "Lost",
 }
 
 export enum LedgerReplyKind {
     Begun = "Begun",
-    /** The request is recorded, or was already; the record tells the state that holds now. */
+    /** The request is recorded, or was recorded before; the record has the call's current state. */
     Recorded = "Recorded",
-    /** The record that the request names is no longer the current one; nothing was changed. */
+    /** The record in the request is no longer the current one; nothing was changed. */
     Superseded = "Superseded",
     Found = "Found",
     Listed = "Listed",
@@ -76,7 +76,7 @@
     | { readonly kind: LedgerReplyKind.RunState; readonly state: RunState }
     | { readonly kind: LedgerReplyKind.Unavailable; readonly text: string };
 
-/** The call that a request is about; undefined where it is about a whole shard. */
+/** Returns the call that a request refers to, or undefined if it refers to a whole shard or to a start. */
 export function tryGetIdentity(request: LedgerRequest): types.CallIdentity | undefined {
     switch (request.kind) {
         case LedgerRequestKind.Begin:
--- a/packages/work/src/ledgerRouter.ts
+++ b/packages/work/src/ledgerRouter.ts
@@ -12,55 +12,56 @@
     readonly membership: protocol.Membership;
     readonly instance: core.InstanceId;
     readonly shards: readonly ledgerShard.LedgerShard[];
-    /** What this process says of a start that bears its instance's name. */
+    /** Returns the state of a start that was made by this instance. */
     readonly getRunState: (startId: string) => requests.RunState;
 }
 
-/** Longer than a peer holds a `Wait`, shorter than a caller's patience. */
-const PeerTimeoutMilliseconds = 3_000;
-/** Stand-by holders tried when a shard's holder doesn't answer; all instances try the same ones in the same order. */
-const StandbyHolders = 2;
+/** Longer than a peer delays the reply to a `Wait`, shorter than callers wait for an answer. */
+const PeerReplyTimeoutMilliseconds = 3_000;
+/** Standby holders tried when a shard's holder doesn't reply; all instances try the same ones in the same order. */
+const MaximumStandbyHolders = 2;
 
-/** Brings requests to the holders of their shards, and serves those that peers bring here. */
+/** Routes requests to the holders of their shards, and serves the requests that peers send to this instance. */
 export class LedgerRouter {
     constructor(private readonly options: LedgerRouterOptions) {
-        this.handlePeers();
+        this.registerPeerHandlers();
     }
 
-    ask(identity: types.CallIdentity, request: requests.LedgerRequest): Promise<requests.LedgerReply> {
-        return this.askShard(this.getShard(identity), request);
+    route(identity: types.CallIdentity, request: requests.LedgerRequest): Promise<requests.LedgerReply> {
+        return this.routeToShard(this.getShard(identity), request);
     }
 
     /**
-     * Asks the shard's holder; when it doesn't answer, the stand-by holders, and at last this instance itself. Asking
-     * a second one is safe: the request carries the name of its start, and the shard's revision decides.
+     * Sends a request to the shard's holder. If it doesn't reply, tries the standby holders and finally this instance
+     * itself. Trying several is safe: requests are idempotent, and the revision of the shard's head prevents
+     * conflicting commits.
      */
-    async askShard(shard: number, request: requests.LedgerRequest): Promise<requests.LedgerReply> {
+    async routeToShard(shard: number, request: requests.LedgerRequest): Promise<requests.LedgerReply> {
         for (const holder of this.getHolders(shard)) {
             if (holder === this.options.instance) {
                 break;
             }
-            const reply = await this.askPeer(holder, shard, request);
+            const reply = await this.requestFromPeer(holder, shard, request);
             if (reply !== undefined) {
                 return reply;
             }
         }
-        return core.Debug.checkDefined(this.options.shards[shard], "shard").ask(request);
+        return core.Debug.checkDefined(this.options.shards[shard], "shard").handle(request);
     }
 
-    /** Asks every shard's holder. */
-    askAll(request: requests.LedgerRequest): Promise<readonly requests.LedgerReply[]> {
-        return Promise.all([...this.options.shards.keys()].map(shard => this.askShard(shard, request)));
+    /** Sends a request to the holder of every shard. */
+    routeToAllShards(request: requests.LedgerRequest): Promise<readonly requests.LedgerReply[]> {
+        return Promise.all([...this.options.shards.keys()].map(shard => this.routeToShard(shard, request)));
     }
 
-    /** What the instance that started a call says of it; one that doesn't answer is taken to run it still. */
-    async askRunState(record: types.CallRecord): Promise<requests.RunState> {
+    /** Queries the instance that started a call. An instance that doesn't reply is assumed to be running the call. */
+    async queryRunState(record: types.CallRecord): Promise<requests.RunState> {
         const startId = record.startId ?? "";
         if (record.instance === this.options.instance) {
             return this.options.getRunState(startId);
         }
         const request: requests.LedgerRequest = { kind: requests.LedgerRequestKind.IsRunning, startId };
-        const reply = await this.askPeer(record.instance, 0, request);
+        const reply = await this.requestFromPeer(record.instance, 0, request);
         return reply?.kind === requests.LedgerReplyKind.RunState ? reply.state : requests.RunState.Running;
     }
 
@@ -69,27 +70,27 @@
     }
 
     private getHolders(shard: number): ReadonlySet<core.InstanceId> {
-        const duties = [getLedgerDuty(shard)];
-        for (let standby = 1; standby <= StandbyHolders; standby++) {
-            duties.push(`${getLedgerDuty(shard)}/standby/${standby}`);
+        const assignments = [getLedgerDuty(shard)];
+        for (let standby = 1; standby <= MaximumStandbyHolders; standby++) {
+            assignments.push(`${getLedgerDuty(shard)}/standby/${standby}`);
         }
-        const holders = duties.map(duty => this.options.membership.tryGetHolder(duty));
+        const holders = assignments.map(duty => this.options.membership.tryGetHolder(duty));
         return new Set(holders.filter(holder => holder !== undefined));
     }
 
-    private async askPeer(
+    private async requestFromPeer(
         peer: core.InstanceId,
         shard: number,
         request: requests.LedgerRequest,
     ): Promise<requests.LedgerReply | undefined> {
         const result = await this.options.peers.request(peer, toMessage(shard, request), {
             lane: protocol.Lane.Online,
-            timeoutMilliseconds: PeerTimeoutMilliseconds,
+            timeoutMilliseconds: PeerReplyTimeoutMilliseconds,
         });
         return result.ok ? tryGetReply(result.message) : undefined;
     }
 
-    private handlePeers(): void {
+    private registerPeerHandlers(): void {
         const { peers } = this.options;
         peers.handle(protocol.MessageKind.LedgerBegin, async message => ({
             kind: protocol.MessageKind.LedgerBegun,
@@ -111,7 +112,7 @@
             const state = this.options.getRunState(request.startId);
             return codec.encode({ kind: requests.LedgerReplyKind.RunState, state } satisfies requests.LedgerReply);
         }
-        const reply = await this.options.shards[shard]?.ask(request);
+        const reply = await this.options.shards[shard]?.handle(request);
         const unknown = { kind: requests.LedgerReplyKind.Unavailable, text: `there is no shard ${shard}` } as const;
         return codec.encode(reply ?? unknown);
     }
@@ -122,7 +123,7 @@
     }
 }
 
-/** Name of the duty to hold a shard, for `Membership.tryGetHolder`. */
+/** Returns the name of the assignment to hold a shard, for `Membership.tryGetHolder`. */
 export function getLedgerDuty(shard: number): string {
     return `ledger/${shard}`;
 }
--- a/packages/work/src/ledgerShard.ts
+++ b/packages/work/src/ledgerShard.ts
@@ -14,8 +14,8 @@
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
     readonly createId: () => string;
-    readonly isGone: (instance: core.InstanceId) => boolean;
-    /** Commits that this shard may make in a second; more requests then share a commit. */
+    readonly isRemoved: (instance: core.InstanceId) => boolean;
+    /** Maximum rate of commits of this shard. At a higher request rate, requests share commits. */
     readonly commitsPerSecond: number;
 }
 
@@ -26,33 +26,33 @@
 
 interface BatchAttempt {
     readonly replies?: readonly requests.LedgerReply[];
-    /** Why there are no replies. */
+    /** The reason if there are no replies. */
     readonly text?: string;
 }
 
-/** A holder whose head lost this many races in a row gives its requests up; more would only add to the contention. */
+/** Consecutive write conflicts after which a batch is rejected; more attempts would only add to the contention. */
 const MaximumConflicts = 8;
-/** Calls in one head: some 250 bytes each, under the size limit of a value with room for results. */
+/** Calls in one head, at some 250 bytes each. Leaves room for results below the size limit of a value. */
 const MaximumCalls = 2_000;
-/** Results taken into one commit; the next ones wait for the following commit. */
+/** Result bytes in one commit; further results wait for the next commit. */
 const MaximumBatchBytes = 256_000;
 const ContendedText = "the shard is contended";
 const UnreadableReply: requests.LedgerReply = {
     kind: requests.LedgerReplyKind.Unavailable,
     text: "the call's record can't be read now",
 };
-/** A held `Wait` is answered after this time at the latest, so that a waiter notices when the shard has moved. */
-const WaitMilliseconds = 2_000;
+/** A `Wait` request is answered after this time at the latest, so that its sender notices a change of holder. */
+const MaximumWaitMilliseconds = 2_000;
 
 /**
- * One shard of the ledger, as its holder works on it: one compare-and-swap at a time, and all that arrives meanwhile
- * goes into the next. Two instances may both believe that they hold the shard (a lagging list, a pause): the entry's
- * revision is the fence, since the one that writes second finds another revision, reads again, and decides again.
+ * One shard of the ledger on its holder. Makes one compare-and-swap at a time; requests that arrive meanwhile form the
+ * next batch. After a pause or with an outdated instance list, two instances may both act as the holder. The head's
+ * revision is the fencing number: the second writer finds another revision, reloads the head and decides again.
  */
 export class LedgerShard {
     private readonly head: ledgerHead.LedgerHead;
-    private removeBefore: core.WallMilliseconds | undefined;
-    private isWorking = false;
+    private removalCutoff: core.WallMilliseconds | undefined;
+    private isProcessing = false;
     private readonly pacer: commitPacer.CommitPacer;
     private readonly queue: PendingRequest[] = [];
     private readonly waiters = new Map<string, Set<() => void>>();
@@ -62,13 +62,13 @@
         this.head = new ledgerHead.LedgerHead(options);
     }
 
-    /** Removes what ended before the given time, between two commits. */
-    removeOld(endedBefore: core.WallMilliseconds): void {
-        this.removeBefore = endedBefore;
-        void this.work();
+    /** Schedules the removal of calls that ended before the given time. It runs between two commits. */
+    removeExpired(endedBefore: core.WallMilliseconds): void {
+        this.removalCutoff = endedBefore;
+        void this.processQueue();
     }
 
-    async ask(request: requests.LedgerRequest): Promise<requests.LedgerReply> {
+    async handle(request: requests.LedgerRequest): Promise<requests.LedgerReply> {
         const reply = await this.enqueue(request);
         if (request.kind !== requests.LedgerRequestKind.Wait || !isUnfinished(reply)) {
             return reply;
@@ -80,28 +80,28 @@
     private enqueue(request: requests.LedgerRequest): Promise<requests.LedgerReply> {
         return new Promise(resolve => {
             this.queue.push({ request, resolve });
-            void this.work();
+            void this.processQueue();
         });
     }
 
-    private async work(): Promise<void> {
-        if (this.isWorking) {
+    private async processQueue(): Promise<void> {
+        if (this.isProcessing) {
             return;
         }
         const { clock } = this.options;
-        this.isWorking = true;
-        while (this.queue.length > 0 || this.removeBefore !== undefined) {
-            // Also a wait of nothing lets the requests of the same moment join: the first would be committed alone.
-            await clock.sleep(this.pacer.getWait(clock.now()));
+        this.isProcessing = true;
+        while (this.queue.length > 0 || this.removalCutoff !== undefined) {
+            // Sleeps even for zero milliseconds, so that requests which arrive at the same time share one commit.
+            await clock.sleep(this.pacer.getWaitMilliseconds(clock.now()));
             const batch = this.takeBatch();
-            this.pacer.noteCommit(clock.now(), batch.length);
+            this.pacer.recordCommit(clock.now(), batch.length);
             await this.runBatch(batch);
-            if (this.removeBefore !== undefined) {
-                await this.head.removeOld(this.removeBefore);
-                this.removeBefore = undefined;
+            if (this.removalCutoff !== undefined) {
+                await this.head.removeExpired(this.removalCutoff);
+                this.removalCutoff = undefined;
             }
         }
-        this.isWorking = false;
+        this.isProcessing = false;
     }
 
     private takeBatch(): readonly PendingRequest[] {
@@ -133,11 +133,11 @@
     }
 
     private async tryBatch(batch: readonly PendingRequest[]): Promise<BatchAttempt> {
-        const { clock, isGone, shard, telemetry: events } = this.options;
+        const { clock, isRemoved, shard, telemetry: events } = this.options;
         const identities = batch.map(({ request }) => requests.tryGetIdentity(request));
         const { draft, unreadable } = await this.head.createDraft(identities.filter(value => value !== undefined));
         const mayStart = this.head.getCallCount() < MaximumCalls;
-        const context: ledgerDecision.DecisionContext = { now: clock.wallNow(), mayStart, isGone };
+        const context: ledgerDecision.DecisionContext = { now: clock.wallNow(), mayStart, isRemoved };
         const replies = batch.map(({ request }, index) => {
             const identity = identities[index];
             const isUnreadable = identity !== undefined && unreadable.has(callTable.getCallName(identity));
@@ -149,7 +149,7 @@
         const commit = await this.head.commit(draft);
         switch (commit.kind) {
             case ledgerHead.CommitKind.Committed:
-                this.noteCommit(batch);
+                this.reportCommit(batch);
                 return { replies };
             case ledgerHead.CommitKind.Fenced:
                 events.record(telemetry.events.LedgerFenced, { text: `shard ${shard}` });
@@ -161,8 +161,8 @@
     }
 
     /**
-     * Makes sure that answers which no commit has checked are not older than their question: another holder may have
-     * finished a call since, and one that was read as finished must never be read as running again.
+     * Checks that replies which didn't require a commit are based on the current head. Another holder may have finished
+     * a call since the head was loaded, and a call that was once read as finished must not be read as running again.
      */
     private async verify(replies: readonly requests.LedgerReply[]): Promise<BatchAttempt> {
         const revision = this.head.tryGetRevision();
@@ -173,31 +173,31 @@
         return this.head.tryGetRevision() === revision ? { replies } : { text: ContendedText };
     }
 
-    private noteCommit(batch: readonly PendingRequest[]): void {
+    private reportCommit(batch: readonly PendingRequest[]): void {
         this.options.telemetry.metrics.count("boragedale_ledger_commits_total");
         this.options.telemetry.metrics.count("boragedale_ledger_commit_requests_total", {}, batch.length);
         for (const { request } of batch) {
             const identity = requests.tryGetIdentity(request);
-            const waiting = identity === undefined ? undefined : this.waiters.get(callTable.getCallName(identity));
-            waiting?.forEach(wake => wake());
+            const callWaiters = identity === undefined ? undefined : this.waiters.get(callTable.getCallName(identity));
+            callWaiters?.forEach(wake => wake());
         }
     }
 
-    /** Resolves when a commit touches the call, or after the longest wait. */
+    /** Resolves when a commit includes a request for the call, or after the maximum wait. */
     private async waitForChange(identity: types.CallIdentity): Promise<void> {
         const name = callTable.getCallName(identity);
-        const waiting = this.waiters.get(name) ?? new Set();
-        this.waiters.set(name, waiting);
+        const callWaiters = this.waiters.get(name) ?? new Set();
+        this.waiters.set(name, callWaiters);
         await new Promise<void>(resolve => {
             const wake = (): void => {
                 stop();
-                waiting.delete(wake);
+                callWaiters.delete(wake);
                 resolve();
             };
-            const stop = this.options.clock.schedule(WaitMilliseconds, wake);
-            waiting.add(wake);
+            const stop = this.options.clock.schedule(MaximumWaitMilliseconds, wake);
+            callWaiters.add(wake);
         });
-        if (waiting.size === 0) {
+        if (callWaiters.size === 0) {
             this.waiters.delete(name);
         }
     }
@@ -207,7 +207,7 @@
     return reply.kind === requests.LedgerReplyKind.Found && reply.record?.state === types.CallState.Started;
 }
 
-/** Whether the reply tells a state that no later commit changes. */
+/** Whether the reply contains a state that no later commit can change. */
 function isFinal(reply: requests.LedgerReply): boolean {
     switch (reply.kind) {
         case requests.LedgerReplyKind.Begun:
--- a/packages/work/src/refusals.ts
+++ b/packages/work/src/refusals.ts
@@ -4,7 +4,7 @@
 
 /** The refusals of files and jobs. */
 
-const ComeBackMilliseconds = 2_000;
+const RetryAfterMilliseconds = 2_000;
 const ReportedFindings = 5;
 
 export function createUnavailable<T>(certainty: core.RunCertainty = core.RunCertainty.NotRun): core.Outcome<T> {
@@ -13,7 +13,7 @@
             kind: core.RefusalKind.KeyValueDown,
             message: core.messages.KeyValueDown,
             certainty,
-            retryAfterMilliseconds: ComeBackMilliseconds,
+            retryAfterMilliseconds: RetryAfterMilliseconds,
         }),
     );
 }
--- a/packages/work/src/resultSpool.ts
+++ b/packages/work/src/resultSpool.ts
@@ -2,7 +2,7 @@
 import * as codec from "./codec.js";
 import type * as types from "./types.js";
 
-/** What the ledger needs of an instance's small disk. */
+/** The operations of an instance's disk spool that the ledger uses. */
 export type SpoolFiles = Pick<backing.Spool, "append" | "read" | "acknowledge">;
 
 export interface SpooledResult {
@@ -11,51 +11,54 @@
 }
 
 /**
- * Results that were answered before the key-value service had them, on disk where the instance has one: a process that
- * dies in an outage would otherwise take them along, and bookings that did run would end with an unknown outcome.
+ * Stores results on disk that were returned to callers before the key-value service accepted them. Otherwise they would
+ * be lost with a process that crashes during an outage, and calls that did run would end with an unknown outcome.
  */
 export class ResultSpool {
-    /** Records of this process that the service has not got yet. */
-    private readonly open = new Set<number>();
-    private newest = 0;
+    /** Results of this process that are not yet recorded in the ledger. */
+    private readonly pendingSequences = new Set<number>();
+    private newestSequence = 0;
     private isReplaying = true;
 
     constructor(private readonly files: SpoolFiles) {}
 
-    /** Keeps a result; undefined where the disk is full or fails, and memory must do. */
-    async keep(spooled: SpooledResult): Promise<number | undefined> {
+    /** Writes a result to disk. Undefined if the disk is full or fails; the result is then only in memory. */
+    async store(spooled: SpooledResult): Promise<number | undefined> {
         const appended = await this.files.append(codec.encode(spooled));
         if (!("sequence" in appended)) {
             return undefined;
         }
-        this.open.add(appended.sequence);
-        this.newest = Math.max(this.newest, appended.sequence);
+        this.pendingSequences.add(appended.sequence);
+        this.newestSequence = Math.max(this.newestSequence, appended.sequence);
         return appended.sequence;
     }
 
-    /** The service has the result: its record is not needed any more. */
+    /** Marks a result as recorded in the ledger, so that its spool record is no longer needed. */
     async markRecorded(sequence: number): Promise<void> {
-        this.open.delete(sequence);
-        // The records of earlier processes come before all of ours, and are acknowledged one by one.
+        this.pendingSequences.delete(sequence);
+        // Acknowledging a record includes all earlier ones, and those of earlier processes are still being replayed.
         if (!this.isReplaying) {
-            await this.acknowledgeDone();
+            await this.acknowledgeRecorded();
         }
     }
 
-    /** Hands out what earlier processes have left, the oldest first; each is acknowledged once `record` resolves true. */
+    /**
+     * Replays the results that earlier processes left, oldest first. Each is acknowledged once `record` resolves to
+     * true.
+     */
     async replay(record: (spooled: SpooledResult) => Promise<boolean>): Promise<void> {
-        for await (const kept of this.files.read()) {
-            if (!(await record(codec.decode<SpooledResult>(kept.payload)))) {
+        for await (const spoolRecord of this.files.read()) {
+            if (!(await record(codec.decode<SpooledResult>(spoolRecord.payload)))) {
                 return;
             }
-            await this.files.acknowledge(kept.sequence);
+            await this.files.acknowledge(spoolRecord.sequence);
         }
         this.isReplaying = false;
-        await this.acknowledgeDone();
+        await this.acknowledgeRecorded();
     }
 
-    private async acknowledgeDone(): Promise<void> {
-        const oldest = Math.min(...this.open);
-        await this.files.acknowledge(Number.isFinite(oldest) ? oldest - 1 : this.newest);
+    private async acknowledgeRecorded(): Promise<void> {
+        const oldest = Math.min(...this.pendingSequences);
+        await this.files.acknowledge(Number.isFinite(oldest) ? oldest - 1 : this.newestSequence);
     }
 }
--- a/packages/work/src/sealedCalls.ts
+++ b/packages/work/src/sealedCalls.ts
@@ -6,9 +6,9 @@
 import type * as files from "./files.js";
 import type * as types from "./types.js";
 
-/** Finished calls of a shard that have left its head: immutable segments, and runs that index many of them. */
+/** Finished calls moved out of a shard's head: immutable segments, and runs, each of which indexes many segments. */
 export interface SealedState {
-    /** The newest segments, whose index still lies in the head. */
+    /** The newest segments, which are indexed in the head itself. */
     readonly segments: readonly SegmentInfo[];
     readonly runs: readonly RunInfo[];
 }
@@ -16,7 +16,7 @@
 export interface SegmentInfo {
     readonly name: string;
     readonly newestAt: core.WallMilliseconds;
-    /** Hashes of the calls in it, eight bytes each. */
+    /** Hashes of the names of the segment's calls, eight bytes each. */
     readonly hashes: Uint8Array;
 }
 
@@ -29,34 +29,34 @@
 
 export interface FoundCalls {
     readonly calls: ReadonlyMap<string, types.CallRecord>;
-    /** Names of calls whose segment could not be read: nothing may be decided on them. */
+    /** Names of calls whose segment could not be read, so that no request on them can be decided. */
     readonly unreadable: ReadonlySet<string>;
 }
 
-/** Calls indexed in the head before the index moves into a run; the head is rewritten with every commit. */
-const HeadIndexCalls = 1_024;
+/** Calls indexed in the head before that index is moved into a run, since every commit rewrites the head. */
+const MaximumHeadIndexCalls = 1_024;
 const HashBytes = 8;
-const CachedSegments = 4;
+const MaximumCachedSegments = 4;
 
-/** Finds, adds and removes the sealed calls of one shard. Holds an index of hashes, never all the calls. */
+/** Finds, adds and removes the sealed calls of one shard. Memory holds an index of hashes, not the calls themselves. */
 export class SealedCalls {
-    /** Names of the segments that hold a call of this hash; almost always one. */
+    /** Names of the segments that contain a call with this hash; almost always one. */
     private readonly index = new Map<number, readonly string[]>();
-    private readonly knownRuns = new Map<string, readonly SegmentInfo[]>();
-    private readonly knownSegments = new Set<string>();
+    private readonly loadedRuns = new Map<string, readonly SegmentInfo[]>();
+    private readonly indexedSegments = new Set<string>();
     private readonly cache = new Map<string, readonly types.CallRecord[]>();
 
     constructor(
         private readonly shard: number,
         private readonly keyValue: backing.KeyValueService,
-        private readonly vault: files.FileVault,
+        private readonly contentStore: files.ContentStore,
         private readonly createId: () => string,
     ) {}
 
-    /** Brings the index to the state of a head that was read; returns why that failed. */
-    async adopt(state: SealedState): Promise<string | undefined> {
+    /** Adds the segments and runs of a head to the index. Returns the reason if a run can't be read. */
+    async loadIndex(state: SealedState): Promise<string | undefined> {
         for (const run of state.runs) {
-            if (this.knownRuns.has(run.name)) {
+            if (this.loadedRuns.has(run.name)) {
                 continue;
             }
             const entry = await this.keyValue.get(this.getRunKey(run.name), backing.CallPurpose.Ledger);
@@ -64,7 +64,7 @@
                 return entry.failure.text;
             }
             const segments = entry.value === undefined ? [] : codec.decode<SegmentInfo[]>(entry.value.value);
-            this.knownRuns.set(run.name, segments);
+            this.loadedRuns.set(run.name, segments);
             segments.forEach(segment => this.addToIndex(segment));
         }
         state.segments.forEach(segment => this.addToIndex(segment));
@@ -90,38 +90,38 @@
         return { calls, unreadable };
     }
 
-    /** Writes calls into a segment; the caller commits the returned state. Undefined when the write failed. */
+    /** Writes calls into a new segment. The caller commits the returned state; undefined if the write failed. */
     async seal(state: SealedState, calls: readonly types.CallRecord[]): Promise<SealedState | undefined> {
         const name = this.createId();
         const value = await codec.compress(codec.encode(calls));
         const key = this.getSegmentKey(name);
-        if (!(await this.vault.tryCreate(key, value, backing.CallPurpose.Ledger))) {
+        if (!(await this.contentStore.tryCreate(key, value, backing.CallPurpose.Ledger))) {
             return undefined;
         }
         const newestAt = Math.max(...calls.map(call => call.endedAt ?? call.startedAt));
         const segment = { name, newestAt, hashes: encodeHashes(calls) };
-        return this.foldIndex({ ...state, segments: [...state.segments, segment] });
+        return this.moveIndexToRun({ ...state, segments: [...state.segments, segment] });
     }
 
-    /** Takes back the segment of a commit that lost its race. */
-    async unseal(before: SealedState, after: SealedState): Promise<void> {
-        const known = new Set([...before.segments, ...before.runs].map(value => value.name));
-        for (const segment of after.segments.filter(value => !known.has(value.name))) {
-            await this.vault.remove(this.getSegmentKey(segment.name), backing.CallPurpose.Ledger);
+    /** Removes the segment of a commit that was not written. */
+    async removeUncommitted(before: SealedState, after: SealedState): Promise<void> {
+        const committed = new Set([...before.segments, ...before.runs].map(value => value.name));
+        for (const segment of after.segments.filter(value => !committed.has(value.name))) {
+            await this.contentStore.remove(this.getSegmentKey(segment.name), backing.CallPurpose.Ledger);
         }
     }
 
-    /** Removes everything that ended before `endedBefore`; the caller commits the returned state. */
-    async removeOld(state: SealedState, endedBefore: core.WallMilliseconds): Promise<SealedState> {
-        const isOld = (value: { readonly newestAt: number }): boolean => value.newestAt < endedBefore;
+    /** Removes segments and runs whose calls all ended before `endedBefore`. The caller commits the returned state. */
+    async removeExpired(state: SealedState, endedBefore: core.WallMilliseconds): Promise<SealedState> {
+        const isExpired = (value: { readonly newestAt: number }): boolean => value.newestAt < endedBefore;
         const removed = new Set<string>();
-        for (const run of state.runs.filter(isOld)) {
-            const segments = this.knownRuns.get(run.name) ?? [];
+        for (const run of state.runs.filter(isExpired)) {
+            const segments = this.loadedRuns.get(run.name) ?? [];
             if ((await this.removeSegments(segments)) && (await this.removeRun(run.name))) {
                 removed.add(run.name);
             }
         }
-        for (const segment of state.segments.filter(isOld)) {
+        for (const segment of state.segments.filter(isExpired)) {
             if (await this.removeSegments([segment])) {
                 removed.add(segment.name);
             }
@@ -132,12 +132,12 @@
         };
     }
 
-    /** Removes the bodies that calls keep outside their records; false when one is left. */
+    /** Removes result bodies that are stored outside their records. Returns false if one could not be removed. */
     async removeBodies(records: readonly types.CallRecord[]): Promise<boolean> {
         for (const { result } of records) {
             for (let piece = 0; piece < (result?.storedBody?.pieces ?? 0); piece++) {
                 const key = getBodyKey(result?.storedBody?.name ?? "", piece);
-                if (!(await this.vault.remove(key, backing.CallPurpose.Ledger))) {
+                if (!(await this.contentStore.remove(key, backing.CallPurpose.Ledger))) {
                     return false;
                 }
             }
@@ -145,15 +145,15 @@
         return true;
     }
 
-    private async foldIndex(state: SealedState): Promise<SealedState | undefined> {
+    private async moveIndexToRun(state: SealedState): Promise<SealedState | undefined> {
         const calls = state.segments.reduce((sum, segment) => sum + segment.hashes.byteLength / HashBytes, 0);
-        if (calls < HeadIndexCalls) {
+        if (calls < MaximumHeadIndexCalls) {
             return state;
         }
         const name = this.createId();
         const newestAt = Math.max(...state.segments.map(segment => segment.newestAt));
         const value = codec.encode(state.segments);
-        const isWritten = await this.vault.tryCreate(this.getRunKey(name), value, backing.CallPurpose.Ledger);
+        const isWritten = await this.contentStore.tryCreate(this.getRunKey(name), value, backing.CallPurpose.Ledger);
         return isWritten ? { segments: [], runs: [...state.runs, { name, newestAt }] } : undefined;
     }
 
@@ -163,7 +163,7 @@
             const isRemoved =
                 records !== undefined &&
                 (await this.removeBodies(records)) &&
-                (await this.vault.remove(this.getSegmentKey(segment.name), backing.CallPurpose.Ledger));
+                (await this.contentStore.remove(this.getSegmentKey(segment.name), backing.CallPurpose.Ledger));
             if (!isRemoved) {
                 return false;
             }
@@ -173,14 +173,14 @@
     }
 
     private async removeRun(name: string): Promise<boolean> {
-        const isRemoved = await this.vault.remove(this.getRunKey(name), backing.CallPurpose.Ledger);
+        const isRemoved = await this.contentStore.remove(this.getRunKey(name), backing.CallPurpose.Ledger);
         if (isRemoved) {
-            this.knownRuns.delete(name);
+            this.loadedRuns.delete(name);
         }
         return isRemoved;
     }
 
-    /** An absent segment was removed at the end of its retention: it holds nothing any more. */
+    /** An absent segment counts as empty, since segments are removed only at the end of their retention. */
     private async readSegment(name: string): Promise<readonly types.CallRecord[] | undefined> {
         const cached = this.cache.get(name);
         if (cached !== undefined) {
@@ -195,7 +195,7 @@
                 ? []
                 : codec.decode<types.CallRecord[]>(await codec.decompress(entry.value.value));
         this.cache.set(name, records);
-        if (this.cache.size > CachedSegments) {
+        if (this.cache.size > MaximumCachedSegments) {
             const [oldest] = this.cache.keys();
             this.cache.delete(oldest ?? "");
         }
@@ -203,10 +203,10 @@
     }
 
     private addToIndex(segment: SegmentInfo): void {
-        if (this.knownSegments.has(segment.name)) {
+        if (this.indexedSegments.has(segment.name)) {
             return;
         }
-        this.knownSegments.add(segment.name);
+        this.indexedSegments.add(segment.name);
         for (const hash of decodeHashes(segment.hashes)) {
             const names = this.index.get(hash) ?? [];
             this.index.set(hash, [...names, segment.name]);
@@ -214,7 +214,7 @@
     }
 
     private removeFromIndex(segment: SegmentInfo): void {
-        this.knownSegments.delete(segment.name);
+        this.indexedSegments.delete(segment.name);
         this.cache.delete(segment.name);
         for (const hash of decodeHashes(segment.hashes)) {
             const names = (this.index.get(hash) ?? []).filter(name => name !== segment.name);
@@ -236,12 +236,12 @@
     }
 }
 
-/** Key of one piece of a result's body that is too large for a segment. */
+/** Returns the key of one piece of a result body that is too large for a segment. */
 export function getBodyKey(name: string, piece: number): string {
     return `ledger/body/${name}/${piece}`;
 }
 
-/** 52 bits of a hash: exact as a number, and the segment itself decides when two calls share one. */
+/** Returns 52 bits of a hash, which a number represents exactly. On a collision the segment's records decide. */
 function hashName(name: string): number {
     const digest = crypto.createHash("sha256").update(name).digest();
     return digest.readUInt32BE(4) * 0x10_0000 + (digest.readUInt32BE(8) >>> 12);
--- a/packages/work/src/swap.ts
+++ b/packages/work/src/swap.ts
@@ -3,11 +3,11 @@
 
 export enum WriteKind {
     Written = "Written",
-    /** Somebody else's value is there; it comes along. */
+    /** Another writer's value is stored; it is returned. */
     Conflict = "Conflict",
     /** Nothing was written. */
     Failed = "Failed",
-    /** It could not be found out whether the value was written. */
+    /** It is not known whether the value was written. */
     Unknown = "Unknown",
 }
 
@@ -18,9 +18,9 @@
     | { readonly kind: WriteKind.Unknown; readonly text: string };
 
 /**
- * Compare-and-swap that survives a lost reply: without reading back, a writer whose write took effect would take its
- * own value for somebody else's, and refuse or repeat work that it has recorded. Every value carries a nonce (or is
- * unique as a whole), so equal bytes mean the own write.
+ * Compare-and-swap that tolerates a lost reply by reading the value back. Otherwise a writer whose write took effect
+ * would mistake its own value for another writer's, and reject or repeat work that it has recorded. Every value
+ * contains a nonce (or is unique as a whole), so equal bytes mean the writer's own value.
  */
 export async function writeValue(
     service: backing.KeyValueService,
@@ -41,7 +41,7 @@
         : createConflict(request, value.current);
 }
 
-/** A value that is there already as it was to be written counts as written: an earlier try was not known to work. */
+/** If the stored value equals the requested one, an earlier attempt took effect and its reply was lost. */
 function createConflict(request: backing.SwapRequest, current: backing.Entry | undefined): WriteOutcome {
     return current !== undefined && isEqual(current.value, request.value)
         ? { kind: WriteKind.Written, revision: current.revision }
--- a/packages/work/src/types.ts
+++ b/packages/work/src/types.ts
@@ -1,23 +1,23 @@
 import type * as core from "@boragedale/core";
 
-/** What a non-idempotent call is known by: the caller's key, within that caller. */
+/** Identifies a non-idempotent call. Keys are chosen by callers and are unique within one caller. */
 export interface CallIdentity {
     readonly caller: core.CallerId;
     readonly key: string;
 }
 
 export interface CallRequest extends CallIdentity {
-    /** Hash of method, path and body: the same key with another body is refused. */
+    /** Hash of method, path and body. A request with a known key and another fingerprint is rejected. */
     readonly fingerprint: string;
     readonly service: string;
 }
 
-/** The whole answer of a call, kept until retention ends. */
+/** The complete response to a call, kept until its retention ends. */
 export interface CallResult {
     readonly status: number;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: Uint8Array;
-    /** Where a large body lies; only within the ledger, which puts the body back before it gives a result out. */
+    /** Where a large body is stored. Used only inside the ledger, which loads the body before it returns a result. */
     readonly storedBody?: StoredBody;
 }
 
@@ -32,35 +32,38 @@
     OutcomeUnknown = "OutcomeUnknown",
 }
 
-/** What anybody may read of a call; the result goes to its own caller only. */
+/** The ledger's record of a call. The result is returned only to the caller that made the call. */
 export interface CallRecord extends CallIdentity {
     readonly state: CallState;
     readonly fingerprint: string;
     readonly service: string;
-    /** Rises each time the call is started again (only where the release note makes that safe). */
+    /** Incremented each time the call is started again, which happens only where the release note makes that safe. */
     readonly attempt: number;
-    /** The instance that sends it. */
+    /** The instance that sends the call. */
     readonly instance: core.InstanceId;
     readonly startedAt: core.WallMilliseconds;
-    /** Names this start: the ledger takes back or hands over a call only by the name of its latest start. */
+    /** Identifies the latest start. A request to release or take over the call must carry this id. */
     readonly startId?: string;
-    /** An attempt after the first was given up before sending; what became of the first is not known. */
+    /** A later attempt was abandoned before it was sent, and the outcome of the first attempt is unknown. */
     readonly isOrphaned?: boolean;
     readonly endedAt?: core.WallMilliseconds;
     readonly result?: CallResult;
 }
 
 export enum BeginKind {
-    /** Recorded as started by this instance: send it now. */
+    /** Recorded as started by this instance, which may send the call now. */
     Started = "Started",
     Finished = "Finished",
-    /** Another request with the same key is running: wait for its result. */
+    /** Another request with the same key is running; its result can be waited for. */
     InFlight = "InFlight",
-    /** Started by an instance that is gone: ask the service, or resend if it drops duplicates, else give it up. */
+    /**
+     * Started by an instance that was removed from the fleet. The service is asked for the outcome, or the call is
+     * resent if the service drops duplicates; otherwise the outcome is recorded as unknown.
+     */
     Orphaned = "Orphaned",
     KeyReused = "KeyReused",
     OutcomeUnknown = "OutcomeUnknown",
-    /** The ledger can't be written: nothing was started. */
+    /** The ledger can't be read or written now; this request started nothing. */
     Unavailable = "Unavailable",
 }
 
@@ -73,9 +76,9 @@
     | { readonly kind: BeginKind.OutcomeUnknown }
     | { readonly kind: BeginKind.Unavailable; readonly text: string };
 
-/** One line of a job's input, in the shape of OpenAI's batch files. */
+/** One line of a job's input, in the format of OpenAI's batch files. */
 export interface JobItem {
-    /** Position in the input, from 0. */
+    /** Zero-based position in the input. */
     readonly index: number;
     readonly customId: string;
     readonly method: string;
@@ -105,7 +108,7 @@
     readonly counts: JobCounts;
     readonly inputFile: string;
     readonly endpoint: string;
-    /** The release note whose model versions finished items carry. */
+    /** Generation of the release note that determines the model versions of finished items. */
     readonly generation: core.Generation;
     readonly createdAt: core.WallMilliseconds;
     readonly deadlineAt: core.WallMilliseconds;
@@ -124,7 +127,7 @@
 
 export interface SubmitRequest {
     readonly caller: core.CallerId;
-    /** The same key gives the same job, however often it is submitted. */
+    /** Submitting again with the same key returns the same job. */
     readonly key: string;
     readonly inputFile: string;
     readonly endpoint: string;
@@ -135,11 +138,11 @@
 
 export enum ItemOutcomeKind {
     Succeeded = "Succeeded",
-    /** Can never be done: don't try again. */
+    /** Can't succeed; the item is not retried. */
     Failed = "Failed",
-    /** Did not work this time; counts as an attempt. */
+    /** Failed this time; counts as an attempt and is retried up to the attempt limit. */
     TryAgain = "TryAgain",
-    /** Gave way to online work or a stopping instance; costs no attempt. */
+    /** Was preempted by online work or by the instance's shutdown; doesn't count as an attempt. */
     GaveWay = "GaveWay",
 }
 
