--- a/packages/work/src/activeJob.ts
+++ b/packages/work/src/activeJob.ts
@@ -3,35 +3,35 @@
 import type * as heldChunk from "./heldChunk.js";
 import type * as jobRecords from "./jobRecords.js";
 
-/** A running job as a runner sees it. */
+/** A runner's state of one running job. */
 export interface ActiveJob {
     readonly record: jobRecords.JobRecord;
-    readonly checkpoints: checkpointer.Checkpointer;
-    readonly held: Map<number, heldChunk.HeldChunk>;
-    /** Not looked at for open chunks before this time. */
+    readonly checkpointer: checkpointer.Checkpointer;
+    readonly heldChunks: Map<number, heldChunk.HeldChunk>;
+    /** The job is not checked for open chunks before this time. */
     recheckAt: core.MonotonicMilliseconds;
-    /** Every chunk was claimed or had ended when the board was last looked at. */
+    /** All chunks were claimed or had ended when the job's progress record was last read. */
     isExhausted: boolean;
-    /** Since when something waits to be recorded; also moved by a failed try. */
+    /** Time of the last checkpoint attempt, whether or not it was recorded; initially when the job was added. */
     checkpointedAt: core.MonotonicMilliseconds;
     isCheckpointing: boolean;
-    /** Time from a checkpoint that was not recorded to its next try. */
+    /** Delay before a checkpoint that was not recorded is retried. */
     retryMilliseconds: number;
 }
 
-export const FirstRetryMilliseconds = 200;
-/** In an outage the whole fleet tries; a service that comes back must not find all of it at its door at once. */
-const LongestRetryMilliseconds = 5_000;
+export const InitialRetryMilliseconds = 200;
+/** In an outage the whole fleet retries; with short delays it would overload the service as soon as it is back. */
+const MaximumRetryMilliseconds = 5_000;
 
-/** Sets how long the next try waits, after one that was recorded or was not. */
-export function noteCheckpoint(job: ActiveJob, isRecorded: boolean): void {
+/** Updates the delay before the next retry: reset after a recorded checkpoint, otherwise doubled. */
+export function updateRetryDelay(job: ActiveJob, isRecorded: boolean): void {
     job.retryMilliseconds = isRecorded
-        ? FirstRetryMilliseconds
-        : Math.min(LongestRetryMilliseconds, 2 * job.retryMilliseconds);
+        ? InitialRetryMilliseconds
+        : Math.min(MaximumRetryMilliseconds, 2 * job.retryMilliseconds);
 }
 
-/** Whether what has ended fills a checkpoint already, so that it need not wait for its time. */
+/** Whether the finished results fill a checkpoint, which is then written without waiting for the interval. */
 export function hasFullCheckpoint(job: ActiveJob): boolean {
-    const bytes = [...job.held.values()].reduce((total, chunk) => total + chunk.getEndedBytes(), 0);
+    const bytes = [...job.heldChunks.values()].reduce((total, chunk) => total + chunk.getEndedBytes(), 0);
     return bytes >= checkpointer.CheckpointBytes;
 }
--- a/packages/work/src/checkpointer.ts
+++ b/packages/work/src/checkpointer.ts
@@ -1,37 +1,40 @@
 import type * as core from "@boragedale/core";
 import * as backing from "@boragedale/backing";
-import * as boards from "./board.js";
-import type * as boardStore from "./boardStore.js";
+import * as jobProgress from "./jobProgress.js";
+import type * as jobProgressStore from "./jobProgressStore.js";
 import type * as files from "./files.js";
 import type * as heldChunk from "./heldChunk.js";
 import * as jobRecords from "./jobRecords.js";
 import * as results from "./results.js";
 
 export interface CheckpointerOptions {
-    readonly boards: boardStore.BoardStore;
-    readonly vault: files.ContentStore;
+    readonly progressStore: jobProgressStore.JobProgressStore;
+    readonly contentStore: files.ContentStore;
     readonly clock: core.Clock;
     readonly createId: () => string;
 }
 
 export enum CheckpointKind {
     Recorded = "Recorded",
-    /** Nothing is recorded yet; the same results are tried again. */
+    /** Nothing is recorded yet; the same results are retried later. */
     Delayed = "Delayed",
-    /** The job has ended elsewhere: cancelled, expired, or finished. */
+    /** The job was cancelled, expired or finished by another instance. */
     JobEnded = "JobEnded",
 }
 
 export interface CheckpointOutcome {
     readonly kind: CheckpointKind;
-    readonly board?: boards.Board;
-    /** Chunks that somebody else holds now; their results were dropped. */
+    readonly progress?: jobProgress.JobProgress;
+    /** Chunks whose claim another instance has taken over; their results were dropped. */
     readonly lost: readonly number[];
 }
 
-/** Uncompressed results of one checkpoint; they fit into a value even where they don't compress. */
+/** Uncompressed size of one checkpoint's results, which fit into a value even if they don't compress. */
 export const CheckpointBytes = 850_000;
-/** Results of small jobs lie on the board, which saves a write; a large job's board is written too often for that. */
+/**
+ * Limits for results that are stored inline in the progress record, which saves a write. The progress record of a large
+ * job is rewritten too often for that.
+ */
 const InlineBytes = 64_000;
 const InlineSegments = 4;
 const InlineJobItems = 2_000;
@@ -43,17 +46,17 @@
     readonly releases: boolean;
 }
 
-/** Results on their way to the board, frozen until it is known whether they got there. */
+/** A checkpoint that is being written, unchanged until it is known whether it was recorded. */
 interface PendingCheckpoint {
     readonly results: readonly ChunkResults[];
-    readonly checkpoint: boards.Checkpoint;
-    /** Content of a segment that has yet to be written. */
+    readonly checkpoint: jobProgress.Checkpoint;
+    /** Content of the segment, while it is not yet written. */
     segment: Uint8Array | undefined;
 }
 
 /**
- * Brings the results of one job's chunks to its board. A checkpoint whose outcome is not known (reply lost, service
- * down) is tried again as it is, under the same segment name: built anew it would list results twice.
+ * Records the results of one job's chunks in its progress record. A checkpoint whose outcome is unknown (lost reply,
+ * service down) is retried unchanged, with the same segment name; a new one could list results twice.
  */
 export class Checkpointer {
     private pending: PendingCheckpoint | undefined;
@@ -75,18 +78,18 @@
             if (!(await this.writeSegment(pending))) {
                 return { kind: CheckpointKind.Delayed, lost };
             }
-            const attempt = await this.writeBoard(pending);
+            const attempt = await this.writeProgress(pending);
             if (attempt === undefined) {
                 return { kind: CheckpointKind.Delayed, lost };
             }
             if (attempt.lost.length === 0) {
                 this.pending = undefined;
-                return { kind: CheckpointKind.Recorded, board: attempt.board, lost };
+                return { kind: CheckpointKind.Recorded, progress: attempt.progress, lost };
             }
             await this.removeSegment(pending);
-            if (boards.hasEnded(attempt.board)) {
+            if (jobProgress.hasEnded(attempt.progress)) {
                 this.pending = undefined;
-                return { kind: CheckpointKind.JobEnded, board: attempt.board, lost };
+                return { kind: CheckpointKind.JobEnded, progress: attempt.progress, lost };
             }
             lost.push(...attempt.lost);
             const kept = pending.results.filter(result => !attempt.lost.includes(result.chunk.range.chunk));
@@ -110,7 +113,7 @@
         }
         const bytes = await results.encodeSegment({ output, errors });
         const name = this.options.createId();
-        const isInline = bytes.byteLength <= InlineBytes && (await this.hasRoomOnBoard());
+        const isInline = bytes.byteLength <= InlineBytes && (await this.mayStoreInline());
         const segment = isInline ? { name, inline: bytes } : { name };
         return {
             results: chunkResults,
@@ -119,46 +122,52 @@
         };
     }
 
-    private async hasRoomOnBoard(): Promise<boolean> {
+    private async mayStoreInline(): Promise<boolean> {
         if (this.job.total > InlineJobItems) {
             return false;
         }
-        const board = await this.options.boards.read(this.job.id, Infinity);
-        return board.ok && board.board.segments.filter(segment => segment.inline !== undefined).length < InlineSegments;
+        const read = await this.options.progressStore.read(this.job.id, Infinity);
+        return read.ok && read.progress.segments.filter(entry => entry.inline !== undefined).length < InlineSegments;
     }
 
-    /** The segment is written before the board names it, so that no reader finds a name without content. */
+    /** Writes the segment before the progress record refers to it, so that no reader finds a name without content. */
     private async writeSegment(pending: PendingCheckpoint): Promise<boolean> {
         if (pending.segment === undefined) {
             return true;
         }
         const key = this.getSegmentKey(pending);
-        const written = await this.options.vault.tryCreate(key, pending.segment, backing.CallPurpose.Checkpoint);
+        const written = await this.options.contentStore.tryCreate(key, pending.segment, backing.CallPurpose.Checkpoint);
         if (written) {
             pending.segment = undefined;
         }
         return written;
     }
 
-    private async writeBoard(
+    private async writeProgress(
         pending: PendingCheckpoint,
-    ): Promise<{ readonly board: boards.Board; readonly lost: readonly number[] } | undefined> {
+    ): Promise<{ readonly progress: jobProgress.JobProgress; readonly lost: readonly number[] } | undefined> {
         const { checkpoint } = pending;
         let lost: readonly number[] = [];
         const now = this.options.clock.wallNow();
-        const result = await this.options.boards.update(this.job.id, backing.CallPurpose.Checkpoint, board => {
-            const isRecorded = boards.isRecorded(board, checkpoint);
-            lost = isRecorded ? [] : boards.getLostChunks(board, checkpoint);
-            return isRecorded || lost.length > 0 ? undefined : boards.applyCheckpoint(board, this.job, checkpoint, now);
-        });
-        return result.ok ? { board: result.board, lost } : undefined;
+        const result = await this.options.progressStore.update(
+            this.job.id,
+            backing.CallPurpose.Checkpoint,
+            progress => {
+                const isRecorded = jobProgress.isRecorded(progress, checkpoint);
+                lost = isRecorded ? [] : jobProgress.getLostChunks(progress, checkpoint);
+                return isRecorded || lost.length > 0
+                    ? undefined
+                    : jobProgress.applyCheckpoint(progress, this.job, checkpoint, now);
+            },
+        );
+        return result.ok ? { progress: result.progress, lost } : undefined;
     }
 
-    /** A segment that no board names would only take room; where this fails, it goes with the job. */
+    /** Removes a segment that the progress record doesn't refer to. If this fails, it is removed with the job. */
     private async removeSegment(pending: PendingCheckpoint): Promise<void> {
         const { segment } = pending.checkpoint;
         if (segment !== undefined && segment.inline === undefined) {
-            await this.options.vault.remove(this.getSegmentKey(pending), backing.CallPurpose.Checkpoint);
+            await this.options.contentStore.remove(this.getSegmentKey(pending), backing.CallPurpose.Checkpoint);
         }
     }
 
@@ -168,15 +177,15 @@
 }
 
 function takeResults(chunks: readonly heldChunk.HeldChunk[], releases: boolean): readonly ChunkResults[] {
-    let room = CheckpointBytes;
+    let remainingBytes = CheckpointBytes;
     return chunks.map(chunk => {
-        const ended = chunk.takeEnded(room);
-        room -= ended.reduce((bytes, item) => bytes + item.line.byteLength, 0);
+        const ended = chunk.takeEnded(remainingBytes);
+        remainingBytes -= ended.reduce((bytes, item) => bytes + item.line.byteLength, 0);
         return { chunk, ended, attempts: chunk.getAttempts(), releases };
     });
 }
 
-function createReport(result: ChunkResults): boards.ChunkReport {
+function createReport(result: ChunkResults): jobProgress.ChunkReport {
     const succeeded = result.ended.filter(item => item.hasSucceeded).length;
     return {
         chunk: result.chunk.range.chunk,
--- a/packages/work/src/chunkLoader.ts
+++ b/packages/work/src/chunkLoader.ts
@@ -1,6 +1,6 @@
 import type * as core from "@boragedale/core";
 import * as backing from "@boragedale/backing";
-import type * as boards from "./board.js";
+import type * as jobProgress from "./jobProgress.js";
 import * as codec from "./codec.js";
 import * as files from "./files.js";
 import * as heldChunk from "./heldChunk.js";
@@ -8,23 +8,23 @@
 
 export interface ChunkLoaderOptions {
     readonly keyValue: backing.KeyValueService;
-    readonly vault: files.ContentStore;
+    readonly contentStore: files.ContentStore;
     readonly clock: core.Clock;
     readonly signal: AbortSignal;
 }
 
 const RetryMilliseconds = 1_000;
 
-/** Reads a claimed chunk's lines, trying until the service answers. A chunk whose input is gone is left without. */
+/** Loads the lines of a claimed chunk, with retries until the service replies. Lines of a removed input are empty. */
 export async function loadChunk(
     chunk: heldChunk.HeldChunk,
-    progress: boards.ChunkProgress | undefined,
+    chunkProgress: jobProgress.ChunkProgress | undefined,
     options: ChunkLoaderOptions,
 ): Promise<void> {
     while (!options.signal.aborted && !chunk.isDropped) {
         const lines = await tryReadLines(chunk, options);
         if (lines !== undefined && !chunk.isDropped) {
-            chunk.load(lines, progress);
+            chunk.load(lines, chunkProgress);
             return;
         }
         await options.clock.sleep(RetryMilliseconds, options.signal);
@@ -47,7 +47,7 @@
     const file = codec.decode<jobRecords.FileRecord>(entry.value.value);
     const { start, bytes } = chunk.range;
     try {
-        return await heldChunk.readLines(options.vault.readRange(file, start, start + bytes));
+        return await heldChunk.readLines(options.contentStore.readRange(file, start, start + bytes));
     }
     catch (error) {
         if (!(error instanceof files.ContentUnavailableError)) {
--- a/packages/work/src/claimPlan.ts
+++ b/packages/work/src/claimPlan.ts
@@ -2,94 +2,96 @@
 import type * as heldChunk from "./heldChunk.js";
 import type * as jobRecords from "./jobRecords.js";
 
-/** What one instance has at hand when it decides whether to claim more. */
-export interface WorkAtHand {
+/** The state of one instance on which the decision to claim more chunks is based. */
+export interface LocalWork {
     readonly chunks: readonly heldChunk.HeldChunk[];
-    /** Items that run or could run now. */
+    /** Number of items that are running or could be started now. */
     readonly capacity: number;
-    /** Items that ended in a millisecond, as lately seen. */
-    readonly rate: number;
+    /** Recent rate at which items ended. */
+    readonly itemsPerMillisecond: number;
 }
 
 /**
- * Work claimed ahead, so that an outage of the key-value service doesn't starve the engines: this many items for each
- * one that can run, or what runs in this time at the present rate, as far as the chunks held here are not too many.
+ * Chunks are claimed ahead, so that the engines have work during an outage of the key-value service: this many items
+ * for each one that can run, or the items that end in this time at the current rate, whichever is more, up to a maximum
+ * number of held chunks.
  */
-const ItemsAhead = 4;
-const AheadMilliseconds = 60_000;
+const ClaimAheadItems = 4;
+const ClaimAheadMilliseconds = 60_000;
 const MaximumHeldChunks = 12;
 /**
- * Results that wait to be recorded, in bytes. Where items end faster than checkpoints take them away, or the service is
- * down, they would otherwise fill the memory of a small instance: first no more is claimed, then no more is started.
+ * Limits for results that are not yet recorded. Without them, results would fill the memory of a small instance when
+ * items end faster than checkpoints are written, or when the service is down. Above the first limit no more chunks are
+ * claimed, above the second no more items are started.
  */
-const ClaimingBytes = 8_000_000;
-const StartingBytes = 48_000_000;
-/** Boards that the whole fleet may read in a second to find open chunks, and the most for one instance. */
-const FleetReadsPerSecond = 400;
-const ReadsPerSecond = 40;
-const ReadBurst = 8;
+const MaximumBytesToClaim = 8_000_000;
+const MaximumBytesToStart = 48_000_000;
+/** Limits for reading progress records to find open chunks, for the whole fleet and for one instance. */
+const MaximumFleetReadsPerSecond = 400;
+const MaximumReadsPerSecond = 40;
+const BurstReads = 8;
 
-/** Whether to claim. Only below half of what is wanted, so that one write claims several chunks. */
-export function wantsWork(atHand: WorkAtHand): boolean {
-    const chunks = atHand.chunks.filter(chunk => !chunk.isComplete());
-    const isBehind = chunks.some(chunk => !chunk.hasBeenLoaded()) || countEndedBytes(atHand.chunks) > ClaimingBytes;
-    return !isBehind && chunks.length < MaximumHeldChunks && countWaiting(chunks) < getWantedItems(atHand) / 2;
+/** Whether to claim chunks: only below half of the wanted items, so that one write claims several chunks. */
+export function shouldClaim(localWork: LocalWork): boolean {
+    const chunks = localWork.chunks.filter(chunk => !chunk.isComplete());
+    const isBehind = chunks.some(chunk => !chunk.isLoaded()) || countEndedBytes(localWork.chunks) > MaximumBytesToClaim;
+    return !isBehind && chunks.length < MaximumHeldChunks && countWaitingItems(chunks) < getWantedItems(localWork) / 2;
 }
 
-/** Whether another item may be started, as far as its result will find room. */
-export function hasRoomForResults(chunks: readonly heldChunk.HeldChunk[]): boolean {
-    return countEndedBytes(chunks) < StartingBytes;
+/** Whether another item may be started, given the size of the results that are not yet recorded. */
+export function mayStartItems(chunks: readonly heldChunk.HeldChunk[]): boolean {
+    return countEndedBytes(chunks) < MaximumBytesToStart;
 }
 
-/** Chunks of a job that may be claimed at once: what is wanted, not more than fit. */
-export function getRoom(atHand: WorkAtHand, record: jobRecords.JobRecord): number {
-    const chunks = atHand.chunks.filter(chunk => !chunk.isComplete());
-    const itemsOfChunk = Math.max(1, record.total / record.chunkItems.length);
-    const wanted = Math.ceil((getWantedItems(atHand) - countWaiting(chunks)) / itemsOfChunk);
-    return Math.max(1, Math.min(MaximumHeldChunks - chunks.length, wanted));
+/** Returns how many chunks of a job to claim now, within the maximum number of held chunks. */
+export function getClaimLimit(localWork: LocalWork, record: jobRecords.JobRecord): number {
+    const chunks = localWork.chunks.filter(chunk => !chunk.isComplete());
+    const itemsPerChunk = Math.max(1, record.total / record.chunkItems.length);
+    const wantedChunks = Math.ceil((getWantedItems(localWork) - countWaitingItems(chunks)) / itemsPerChunk);
+    return Math.max(1, Math.min(MaximumHeldChunks - chunks.length, wantedChunks));
 }
 
 /**
- * Limits how often idle instances look at boards. Without a share of a fixed rate, a fleet without batch work would
- * read the most of all, since every instance has room.
+ * Limits how often an instance reads progress records, to its share of a fixed rate of the fleet. Otherwise a fleet
+ * without batch work would read the most, since every instance has free slots.
  */
 export class ReadBudget {
-    private credit = ReadBurst;
+    private tokens = BurstReads;
 
-    constructor(private earnedAt: core.MonotonicMilliseconds) {}
+    constructor(private refilledAt: core.MonotonicMilliseconds) {}
 
-    /** Takes one read where there is one. */
+    /** Takes one read from the budget if available. */
     tryTake(now: core.MonotonicMilliseconds, instances: number): boolean {
-        const earned = ((now - this.earnedAt) * getReadsPerSecond(instances)) / 1_000;
-        this.credit = Math.min(ReadBurst, this.credit + earned);
-        this.earnedAt = now;
-        if (this.credit < 1) {
+        const newTokens = ((now - this.refilledAt) * getReadsPerSecond(instances)) / 1_000;
+        this.tokens = Math.min(BurstReads, this.tokens + newTokens);
+        this.refilledAt = now;
+        if (this.tokens < 1) {
             return false;
         }
-        this.credit--;
+        this.tokens--;
         return true;
     }
 }
 
-/** Time in which one instance can look at so many jobs twice. */
+/** Returns the time in which one instance can check the given number of jobs twice. */
 export function getPassMilliseconds(jobs: number, instances: number): number {
     return (2_000 * jobs) / getReadsPerSecond(instances);
 }
 
 function getReadsPerSecond(instances: number): number {
-    return Math.min(ReadsPerSecond, FleetReadsPerSecond / Math.max(1, instances));
+    return Math.min(MaximumReadsPerSecond, MaximumFleetReadsPerSecond / Math.max(1, instances));
 }
 
-/** Items that should wait here; none while nothing can run. */
-function getWantedItems(atHand: WorkAtHand): number {
-    const { capacity, rate } = atHand;
-    return capacity === 0 ? 0 : Math.max(capacity * ItemsAhead, rate * AheadMilliseconds);
+/** Returns how many items should be waiting on this instance; none while no item can run. */
+function getWantedItems(localWork: LocalWork): number {
+    const { capacity, itemsPerMillisecond } = localWork;
+    return capacity === 0 ? 0 : Math.max(capacity * ClaimAheadItems, itemsPerMillisecond * ClaimAheadMilliseconds);
 }
 
 function countEndedBytes(chunks: readonly heldChunk.HeldChunk[]): number {
     return chunks.reduce((bytes, chunk) => bytes + chunk.getEndedBytes(), 0);
 }
 
-function countWaiting(chunks: readonly heldChunk.HeldChunk[]): number {
+function countWaitingItems(chunks: readonly heldChunk.HeldChunk[]): number {
     return chunks.reduce((count, chunk) => count + chunk.getWaitingCount(), 0);
 }
--- a/packages/work/src/files.ts
+++ b/packages/work/src/files.ts
@@ -11,59 +11,59 @@
 
 export type StoreResult = { readonly ok: true } | { readonly ok: false; readonly text: string };
 
-/** Uncompressed; a piece that doesn't compress still fits into a value. */
+/** Uncompressed size of a piece. A piece that doesn't compress still fits into a value. */
 export const PieceBytes = 900_000;
-const InlineBytes = 64_000;
-/** How long a write is tried again before the upload is refused. */
+const MaximumInlineBytes = 64_000;
+/** How long a read or write is retried before it fails. */
 const RetryTimeoutMilliseconds = 10_000;
 const RetryMilliseconds = 250;
 
-/** Ends a stream of content that can't be completed. */
+/** Thrown when content can't be read to its end. */
 export class ContentUnavailableError extends Error {
     constructor(
         key: string,
         text: string,
-        /** It will not be there later either. */
+        /** The content was removed, so that retrying is useless. */
         readonly isRemoved: boolean,
     ) {
         super(`'${key}' can't be read: ${text}`);
     }
 }
 
-/** Content of any size in values under the size limit, written and read piece by piece. */
+/** Stores content of any size in values below the size limit, written and read piece by piece. */
 export class ContentStore {
     constructor(private readonly options: ContentStoreOptions) {}
 
-    /** Writes the pieces of a file as they come; memory holds one piece. The file exists once its record is written. */
+    /** Writes a file's pieces as they arrive, one at a time in memory. The file exists once its record is written. */
     async writePieces(
         file: string,
         content: AsyncIterable<Uint8Array>,
     ): Promise<StoreResult & { readonly pieces: readonly number[]; readonly inline?: Uint8Array }> {
         const pieces: number[] = [];
-        let waiting: Uint8Array | undefined;
+        let pendingPiece: Uint8Array | undefined;
         for await (const piece of splitIntoPieces(content)) {
-            if (waiting !== undefined) {
-                const stored = await this.writePiece(file, pieces.length, waiting);
+            if (pendingPiece !== undefined) {
+                const stored = await this.writePiece(file, pieces.length, pendingPiece);
                 if (!stored.ok) {
                     return { ...stored, pieces };
                 }
-                pieces.push(waiting.byteLength);
+                pieces.push(pendingPiece.byteLength);
             }
-            waiting = piece;
+            pendingPiece = piece;
         }
-        if (waiting === undefined) {
+        if (pendingPiece === undefined) {
             return { ok: true, pieces };
         }
-        const compressed = await codec.compress(waiting);
-        if (pieces.length === 0 && compressed.byteLength <= InlineBytes) {
-            return { ok: true, pieces: [waiting.byteLength], inline: compressed };
+        const compressed = await codec.compress(pendingPiece);
+        if (pieces.length === 0 && compressed.byteLength <= MaximumInlineBytes) {
+            return { ok: true, pieces: [pendingPiece.byteLength], inline: compressed };
         }
-        const stored = await this.writePiece(file, pieces.length, waiting);
-        pieces.push(waiting.byteLength);
+        const stored = await this.writePiece(file, pieces.length, pendingPiece);
+        pieces.push(pendingPiece.byteLength);
         return { ...stored, pieces };
     }
 
-    /** Removes what an upload that failed has left, as far as the service answers. */
+    /** Removes the pieces of a failed upload, as far as the service replies. */
     async removePieces(file: string, pieces: number): Promise<void> {
         for (let piece = 0; piece <= pieces; piece++) {
             await this.remove(jobRecords.getPieceKey(file, piece), backing.CallPurpose.JobInput);
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Bytes `start` to `end` of a file. Throws `ContentUnavailableError` where a piece can't be read: a stream that
-     * just ended would pass for the whole content.
+     * Reads the bytes from `start` to `end` of a file. Throws `ContentUnavailableError` if a piece can't be read, since
+     * a stream that simply ended would be mistaken for the complete content.
      */
     async *readRange(file: jobRecords.FileRecord, start: number, end: number): AsyncIterable<Uint8Array> {
         let offset = 0;
@@ -85,7 +85,7 @@
         }
     }
 
-    /** One try to create a value that nobody else writes; true once it is there. */
+    /** Tries once to create a value that has no other writer. Returns true if it is stored. */
     async tryCreate(key: string, value: Uint8Array, purpose: backing.CallPurpose): Promise<boolean> {
         const written = await swap.writeValue(this.options.keyValue, this.options.clock, {
             key,
@@ -96,10 +96,10 @@
         return written.kind === swap.WriteKind.Written;
     }
 
-    /** Creates a value that nobody else writes; tries again for a while when the service is busy or down. */
+    /** Creates a value that has no other writer, with retries while the service is busy or down. */
     async create(key: string, value: Uint8Array, purpose: backing.CallPurpose): Promise<StoreResult> {
         const { keyValue, clock } = this.options;
-        const giveUpAt = clock.now() + RetryTimeoutMilliseconds;
+        const timeoutAt = clock.now() + RetryTimeoutMilliseconds;
         for (;;) {
             const written = await swap.writeValue(keyValue, clock, { key, expectedRevision: 0, value, purpose });
             switch (written.kind) {
@@ -109,7 +109,7 @@
                     return { ok: false, text: `'${key}' exists` };
                 case swap.WriteKind.Failed:
                 case swap.WriteKind.Unknown:
-                    if (clock.now() >= giveUpAt) {
+                    if (clock.now() >= timeoutAt) {
                         return { ok: false, text: written.text };
                     }
                     await clock.sleep(RetryMilliseconds);
@@ -117,28 +117,28 @@
         }
     }
 
-    async tryReadValue(key: string): Promise<Uint8Array | undefined> {
+    async tryGetValue(key: string): Promise<Uint8Array | undefined> {
         const entry = await this.options.keyValue.get(key, backing.CallPurpose.Read);
         return entry.ok ? entry.value?.value : undefined;
     }
 
-    /** Reads a value that must be there, trying again for a while. Throws `ContentUnavailableError`. */
+    /** Reads an existing value, with retries. Throws `ContentUnavailableError`. */
     async readValue(key: string): Promise<Uint8Array> {
         const { keyValue, clock } = this.options;
-        const giveUpAt = clock.now() + RetryTimeoutMilliseconds;
+        const timeoutAt = clock.now() + RetryTimeoutMilliseconds;
         for (;;) {
             const entry = await keyValue.get(key, backing.CallPurpose.Read);
             if (entry.ok && entry.value !== undefined) {
                 return entry.value.value;
             }
-            if (entry.ok || clock.now() >= giveUpAt) {
+            if (entry.ok || clock.now() >= timeoutAt) {
                 throw new ContentUnavailableError(key, entry.ok ? "it was removed" : entry.failure.text, entry.ok);
             }
             await clock.sleep(RetryMilliseconds);
         }
     }
 
-    /** Deletes a value whatever its revision; true once it is known to be absent. */
+    /** Deletes a value regardless of its revision. Returns true if it is known to be absent. */
     async remove(key: string, purpose: backing.CallPurpose): Promise<boolean> {
         const { keyValue } = this.options;
         const entry = await keyValue.get(key, purpose);
@@ -163,7 +163,7 @@
     }
 }
 
-/** Joins and cuts what the network delivers into pieces of `PieceBytes`. */
+/** Regroups content as it arrives from the network into pieces of `PieceBytes`. */
 async function* splitIntoPieces(content: AsyncIterable<Uint8Array>): AsyncIterable<Uint8Array> {
     let parts: Uint8Array[] = [];
     let bytes = 0;
--- a/packages/work/src/heldChunk.ts
+++ b/packages/work/src/heldChunk.ts
@@ -1,5 +1,5 @@
 import type * as core from "@boragedale/core";
-import * as boards from "./board.js";
+import * as jobProgress from "./jobProgress.js";
 import * as jobInput from "./jobInput.js";
 import type * as jobRecords from "./jobRecords.js";
 import * as results from "./results.js";
@@ -8,7 +8,7 @@
 export interface WaitingItem {
     readonly position: number;
     readonly line: string;
-    /** Not before this time, after an attempt that failed or gave way. */
+    /** The item is not started before this time, after an attempt that failed or was preempted. */
     readonly notBefore: core.MonotonicMilliseconds;
 }
 
@@ -21,18 +21,18 @@
 
 export interface AttemptContext {
     readonly now: core.MonotonicMilliseconds;
-    /** Attempts that an item has altogether. */
-    readonly limit: number;
+    /** Maximum number of attempts of an item. */
+    readonly attemptLimit: number;
 }
 
-/** A line over this would not fit into a value, whatever it compresses to. */
+/** A longer result line may not fit into a value if it doesn't compress. */
 const MaximumLineBytes = 800_000;
-const FirstRetryMilliseconds = 500;
-const LongestRetryMilliseconds = 30_000;
+const InitialRetryMilliseconds = 500;
+const MaximumRetryMilliseconds = 30_000;
 
-/** A claimed chunk on the instance that works on it: what waits, what runs, what ended since the last checkpoint. */
+/** A chunk claimed by this instance: its waiting and running items, and those that ended since the last checkpoint. */
 export class HeldChunk {
-    /** Set once somebody else holds the chunk or the job has ended: outcomes that still come in are dropped. */
+    /** Set when another instance has taken over the chunk or the job has ended. Later outcomes are ignored. */
     isDropped = false;
     private waiting: WaitingItem[] = [];
     private hasLoaded = false;
@@ -47,12 +47,12 @@
         readonly claimId: string,
     ) {}
 
-    /** Takes the chunk's lines, without the items that earlier holders have ended. */
-    load(lines: readonly string[], progress: boards.ChunkProgress | undefined): void {
+    /** Loads the chunk's lines, except items that ended under earlier holders. */
+    load(lines: readonly string[], chunkProgress: jobProgress.ChunkProgress | undefined): void {
         this.waiting = lines
             .map((line, position) => ({ position, line, notBefore: 0 }))
-            .filter(item => !boards.isDone(progress?.done, item.position));
-        for (const [position, attempts] of Object.entries(progress?.attempts ?? {})) {
+            .filter(item => !jobProgress.isDone(chunkProgress?.done, item.position));
+        for (const [position, attempts] of Object.entries(chunkProgress?.attempts ?? {})) {
             this.attempts.set(Number(position), attempts);
         }
         this.hasLoaded = true;
@@ -79,7 +79,7 @@
         return this.endedBytes;
     }
 
-    hasBeenLoaded(): boolean {
+    isLoaded(): boolean {
         return this.hasLoaded;
     }
 
@@ -93,7 +93,7 @@
         return controller.signal;
     }
 
-    /** Takes an item's outcome; true when it has ended, whether done or given up. */
+    /** Processes the outcome of an attempt. Returns true if the item has ended, whether it succeeded or failed. */
     endAttempt(
         waiting: WaitingItem,
         item: types.JobItem,
@@ -112,16 +112,16 @@
                 this.waiting.push({ ...waiting, notBefore: context.now + outcome.retryAfterMilliseconds });
                 return false;
             case types.ItemOutcomeKind.TryAgain:
-                return this.tryAgain(waiting, item, outcome.text, context);
+                return this.retry(waiting, item, outcome.text, context);
         }
     }
 
-    /** Ends an item that can't even be read. */
+    /** Ends an item as failed. */
     endFailed(position: number, item: types.JobItem, failure: results.FailedItem): void {
         this.addEnded(position, false, results.formatFailed(this.job.id, item, failure));
     }
 
-    /** Gives out what has ended since the last call, at most `maximumBytes` of it. */
+    /** Removes and returns items that ended since the last call, at most `maximumBytes` of results. */
     takeEnded(maximumBytes: number): readonly EndedItem[] {
         let bytes = 0;
         let count = 0;
@@ -141,7 +141,7 @@
         return Object.fromEntries(this.attempts);
     }
 
-    /** Stops what runs; nothing of this chunk is recorded from here on. */
+    /** Aborts running items and discards all results that are not yet recorded. */
     drop(): void {
         this.isDropped = true;
         this.waiting = [];
@@ -154,15 +154,15 @@
         this.running.forEach(controller => controller.abort());
     }
 
-    private tryAgain(waiting: WaitingItem, item: types.JobItem, text: string, context: AttemptContext): boolean {
+    private retry(waiting: WaitingItem, item: types.JobItem, text: string, context: AttemptContext): boolean {
         const attempts = (this.attempts.get(waiting.position) ?? 0) + 1;
-        if (attempts >= context.limit) {
+        if (attempts >= context.attemptLimit) {
             this.endFailed(waiting.position, item, { code: "attempts_exhausted", text });
             return true;
         }
         this.attempts.set(waiting.position, attempts);
-        const wait = Math.min(LongestRetryMilliseconds, FirstRetryMilliseconds * 2 ** (attempts - 1));
-        this.waiting.push({ ...waiting, notBefore: context.now + wait });
+        const delay = Math.min(MaximumRetryMilliseconds, InitialRetryMilliseconds * 2 ** (attempts - 1));
+        this.waiting.push({ ...waiting, notBefore: context.now + delay });
         return false;
     }
 
@@ -182,7 +182,7 @@
     }
 }
 
-/** The lines of a chunk that hold items. */
+/** Reads the non-blank lines of a chunk, each of which is an item. */
 export async function readLines(content: AsyncIterable<Uint8Array>): Promise<readonly string[]> {
     const lines: string[] = [];
     for await (const line of jobInput.splitLines(content)) {
--- a/packages/work/src/itemRunner.ts
+++ b/packages/work/src/itemRunner.ts
@@ -13,44 +13,44 @@
     readonly telemetry: telemetry.Telemetry;
     readonly getItemAttempts: () => number;
     readonly getChunks: () => readonly heldChunk.HeldChunk[];
-    /** No item is started once this is aborted. */
+    /** No item is started after this is aborted. */
     readonly signal: AbortSignal;
 }
 
-const RateMilliseconds = 1_000;
+const RateIntervalMilliseconds = 1_000;
 const RateWeight = 0.3;
 
-/** Runs the items of the held chunks, as many at once as the executor has room for. */
+/** Runs the items of the held chunks, as many at a time as the executor has free slots. */
 export class ItemRunner {
-    private readonly turns = new jobSelection.JobSelection();
-    private ended = 0;
-    private rate = 0;
-    private ratedAt: core.MonotonicMilliseconds;
+    private readonly selection = new jobSelection.JobSelection();
+    private endedCount = 0;
+    private itemsPerMillisecond = 0;
+    private rateUpdatedAt: core.MonotonicMilliseconds;
 
     constructor(private readonly options: ItemRunnerOptions) {
-        this.ratedAt = options.clock.now();
+        this.rateUpdatedAt = options.clock.now();
     }
 
-    /** Items that ended here in a millisecond, as lately seen. */
-    getRate(): number {
-        const passed = this.options.clock.now() - this.ratedAt;
-        if (passed >= RateMilliseconds) {
-            this.rate += RateWeight * (this.ended / passed - this.rate);
-            this.ended = 0;
-            this.ratedAt += passed;
+    /** Returns the moving average of the rate at which items end on this instance. */
+    getItemsPerMillisecond(): number {
+        const passed = this.options.clock.now() - this.rateUpdatedAt;
+        if (passed >= RateIntervalMilliseconds) {
+            this.itemsPerMillisecond += RateWeight * (this.endedCount / passed - this.itemsPerMillisecond);
+            this.endedCount = 0;
+            this.rateUpdatedAt += passed;
         }
-        return this.rate;
+        return this.itemsPerMillisecond;
     }
 
     startItems(): void {
         const { executor, clock, getChunks, signal } = this.options;
-        for (let free = executor.getFreeSlots(); free > 0 && !signal.aborted; free--) {
-            if (!claimPlan.hasRoomForResults(getChunks())) {
+        for (let freeSlots = executor.getFreeSlots(); freeSlots > 0 && !signal.aborted; freeSlots--) {
+            if (!claimPlan.mayStartItems(getChunks())) {
                 return;
             }
             const ready = getChunks().filter(chunk => chunk.hasReadyItem(clock.now()));
             const candidates = ready.map(chunk => ({ ...jobSelection.toCandidate(chunk.job), chunk }));
-            const chosen = this.turns.choose(candidates, clock.wallNow());
+            const chosen = this.selection.choose(candidates, clock.wallNow());
             const waiting = chosen?.chunk.takeReadyItem(clock.now());
             if (chosen === undefined || waiting === undefined) {
                 return;
@@ -64,17 +64,20 @@
         const index = chunk.range.firstItem + waiting.position;
         const item = jobInput.parseItem(waiting.line, index, chunk.job.endpoint);
         if (typeof item === "string") {
-            // Checked when the job was submitted, so its input is gone: the item ends as failed, not the chunk.
-            const unreadable = { index, customId: "", method: "", url: chunk.job.endpoint, body: undefined };
-            chunk.endFailed(waiting.position, unreadable, { code: "input_missing", text: item });
+            // Lines were validated when the job was submitted, so the input was removed. Only the item fails.
+            const placeholder = { index, customId: "", method: "", url: chunk.job.endpoint, body: undefined };
+            chunk.endFailed(waiting.position, placeholder, { code: "input_missing", text: item });
             return;
         }
         const outcome = await this.execute(chunk, waiting.position, item);
-        this.ended++;
+        this.endedCount++;
         if (chunk.isDropped) {
             return;
         }
-        const hasEnded = chunk.endAttempt(waiting, item, outcome, { now: clock.now(), limit: getItemAttempts() });
+        const hasEnded = chunk.endAttempt(waiting, item, outcome, {
+            now: clock.now(),
+            attemptLimit: getItemAttempts(),
+        });
         if (hasEnded && outcome.kind !== types.ItemOutcomeKind.Succeeded) {
             events.record(telemetry.events.ItemFailed, { job: chunk.job.id, text: `item ${index}` });
         }
@@ -92,7 +95,7 @@
             return await this.options.executor.execute(item, { job, caller, generation, deadlineAt }, signal);
         }
         catch (error) {
-            // A defect in running one item must not end the runner; the attempt limit ends the item.
+            // A defect in executing one item must not stop the runner; the item ends at the attempt limit.
             this.options.telemetry.record(telemetry.events.InternalDefect, { job, text: String(error) });
             return { kind: types.ItemOutcomeKind.TryAgain, text: "a defect ended the attempt" };
         }
--- a/packages/work/src/jobInput.ts
+++ b/packages/work/src/jobInput.ts
@@ -1,7 +1,7 @@
 import * as crypto from "node:crypto";
 import type * as types from "./types.js";
 
-/** The input file of a job: one JSON object a line, in the shape of OpenAI's batch files. */
+/** Validation of a job's input file: one JSON object per line, in the format of OpenAI's batch files. */
 
 export interface CheckedInput {
     readonly total: number;
@@ -10,7 +10,7 @@
 }
 
 export interface InputFinding {
-    /** Counted from 1. */
+    /** Line number, starting at 1. */
     readonly line: number;
     readonly text: string;
 }
@@ -21,24 +21,24 @@
 
 export interface Line {
     readonly text: string;
-    /** Bytes of the line with its end. */
+    /** Size of the line including its line break. */
     readonly bytes: number;
 }
 
 /**
- * Limits of one chunk. Items bound what a takeover may have to generate again, bytes the memory of a holder, work
- * (the tokens asked for) the time for which one instance keeps a chunk of long items.
+ * Limits of one chunk. The number of items limits what may have to be generated again after a takeover, bytes limit the
+ * memory of a holder, and work (the requested tokens) limits how long one instance holds a chunk of long items.
  */
 const SmallChunk = { items: 200, bytes: 256_000, work: 200_000 };
 const LargeChunkItems = 1_000;
 const LargeChunkBytes = 1_000_000;
 const LargeChunkWork = 1_000_000;
-/** Chunks that a job is cut into before they are made larger, so that many instances can work on a middling job. */
-const SpreadChunks = 64;
-const DefaultItemWork = 256;
+/** Number of small chunks from which chunks are merged, so that many instances can share a medium-sized job. */
+const MinimumChunksToMerge = 64;
+const DefaultItemTokens = 256;
 const MaximumFindings = 20;
 
-/** Reads the whole input once, in bounded memory, and cuts it into chunks. */
+/** Validates the whole input in one pass with bounded memory, and divides it into chunks. */
 export async function checkInput(content: AsyncIterable<Uint8Array>, endpoint: string): Promise<InputCheck> {
     const findings: InputFinding[] = [];
     const chunks: MutableChunk[] = [];
@@ -56,7 +56,7 @@
             addFinding(findings, lineNumber, `custom_id '${item.customId}' was used before`);
         }
         total += isBlank ? 0 : 1;
-        addToChunks(chunks, line.bytes, isBlank ? 0 : 1, typeof item === "object" ? estimateWork(item) : 0);
+        addToChunks(chunks, line.bytes, isBlank ? 0 : 1, typeof item === "object" ? estimateTokens(item) : 0);
     }
     if (total === 0) {
         addFinding(findings, 1, "there is no request in the file");
@@ -64,7 +64,7 @@
     return findings.length > 0 ? { ok: false, findings } : { ok: true, input: createInput(total, chunks) };
 }
 
-/** Parses one line; a text tells what is wrong with it. */
+/** Parses one line. Returns an error text if the line is invalid. */
 export function parseItem(text: string, index: number, endpoint: string): types.JobItem | string {
     const value = tryParse(text);
     if (typeof value !== "object" || !value) {
@@ -86,23 +86,23 @@
     return { index, customId, method, url: endpoint, body };
 }
 
-/** Lines with the number of bytes that each takes in the file. Holds one line and one piece. */
+/** Splits content into lines, with the size of each line in the file. Memory holds one line and one piece. */
 export async function* splitLines(content: AsyncIterable<Uint8Array>): AsyncIterable<Line> {
-    let waiting: Uint8Array[] = [];
+    let pendingParts: Uint8Array[] = [];
     for await (const piece of content) {
         let start = 0;
         for (let end = piece.indexOf(10); end >= 0; end = piece.indexOf(10, start)) {
-            waiting.push(piece.subarray(start, end + 1));
-            yield createLine(waiting);
-            waiting = [];
+            pendingParts.push(piece.subarray(start, end + 1));
+            yield createLine(pendingParts);
+            pendingParts = [];
             start = end + 1;
         }
         if (start < piece.byteLength) {
-            waiting.push(piece.subarray(start));
+            pendingParts.push(piece.subarray(start));
         }
     }
-    if (waiting.length > 0) {
-        yield createLine(waiting);
+    if (pendingParts.length > 0) {
+        yield createLine(pendingParts);
     }
 }
 
@@ -133,7 +133,10 @@
     }
 }
 
-/** Remembers 52 bits of a hash for each id: 380,000 ids as texts would take more memory than the rest of the check. */
+/**
+ * Adds an id and returns whether it is new. Stores 52 bits of a hash per id: 380,000 ids as strings would take more
+ * memory than the rest of the validation.
+ */
 function addCustomId(seen: Set<number>, customId: string): boolean {
     const digest = crypto.createHash("sha1").update(customId).digest();
     const hash = digest.readUInt32BE(0) * 0x10_0000 + (digest.readUInt32BE(4) >>> 12);
@@ -141,10 +144,10 @@
     return seen.add(hash).size > size;
 }
 
-function estimateWork(item: types.JobItem): number {
+function estimateTokens(item: types.JobItem): number {
     const body = item.body as Readonly<Record<string, unknown>>;
     const tokens = body["max_completion_tokens"] ?? body["max_tokens"];
-    return typeof tokens === "number" && tokens > 0 ? tokens : DefaultItemWork;
+    return typeof tokens === "number" && tokens > 0 ? tokens : DefaultItemTokens;
 }
 
 function addToChunks(chunks: MutableChunk[], bytes: number, items: number, work: number): void {
@@ -163,12 +166,12 @@
     last.work += work;
 }
 
-/** Joins neighbours in large jobs: each chunk costs writes, and a large job has enough of them to spread. */
+/** Merges neighbouring chunks in large jobs: each chunk costs writes, and large jobs have enough to distribute. */
 function createInput(total: number, chunks: readonly MutableChunk[]): CheckedInput {
-    const wantedItems = Math.min(LargeChunkItems, Math.max(SmallChunk.items, Math.floor(total / SpreadChunks)));
-    const joined: MutableChunk[] = [];
+    const wantedItems = Math.min(LargeChunkItems, Math.max(SmallChunk.items, Math.floor(total / MinimumChunksToMerge)));
+    const mergedChunks: MutableChunk[] = [];
     for (const chunk of chunks) {
-        const last = joined.at(-1);
+        const last = mergedChunks.at(-1);
         const fits =
             last !== undefined &&
             last.items + chunk.items <= wantedItems &&
@@ -180,8 +183,12 @@
             last.work += chunk.work;
         }
         else {
-            joined.push({ ...chunk });
+            mergedChunks.push({ ...chunk });
         }
     }
-    return { total, chunkItems: joined.map(chunk => chunk.items), chunkBytes: joined.map(chunk => chunk.bytes) };
+    return {
+        total,
+        chunkItems: mergedChunks.map(chunk => chunk.items),
+        chunkBytes: mergedChunks.map(chunk => chunk.bytes),
+    };
 }
--- a/packages/work/src/board.ts
+++ b/packages/work/src/jobProgress.ts
@@ -3,10 +3,11 @@
 import * as types from "./types.js";
 
 /**
- * A job's board: who works on which chunk, what has ended, where the results lie. One key holds it, so that a cancel is
- * one compare-and-swap: whoever records results later finds another revision, reads the state, and drops them.
+ * A job's progress record: the claim and progress of each chunk, and where the results are stored. It is a single
+ * value, so that a cancel is one compare-and-swap: an instance that records results later finds another revision, reads
+ * the state and drops its results.
  */
-export interface Board {
+export interface JobProgress {
     readonly nonce: string;
     readonly state: types.JobState;
     readonly endedAt?: core.WallMilliseconds;
@@ -14,7 +15,7 @@
     readonly failed: number;
     readonly outputBytes: number;
     readonly errorBytes: number;
-    /** By chunk number; a chunk that nobody has touched is absent. */
+    /** By chunk number; a chunk that was never claimed is absent. */
     readonly chunks: Readonly<Record<number, ChunkProgress>>;
     readonly segments: readonly SegmentPointer[];
 }
@@ -31,12 +32,12 @@
 export interface Claim {
     readonly id: string;
     readonly instance: core.InstanceId;
-    /** Names the process: after a restart under the same name the claim is nobody's. */
+    /** Identifies the process. After a restart of the instance, claims of its previous process are abandoned. */
     readonly process: string;
     readonly renewedAt: core.WallMilliseconds;
 }
 
-/** Results that belong to the job. Small ones lie on the board itself. */
+/** Refers to a segment of the job's results. Small segments are stored inline in the progress record. */
 export interface SegmentPointer {
     readonly name: string;
     readonly inline?: Uint8Array;
@@ -47,20 +48,20 @@
     readonly process: string;
     readonly now: core.WallMilliseconds;
     readonly createId: () => string;
-    /** Whether the chunk's present claim may be taken over. */
+    /** Whether the chunk's current claim may be taken over. */
     readonly isAbandoned: (claim: Claim) => boolean;
 }
 
-/** What one instance has to record for one chunk. */
+/** The progress of one chunk that an instance records in a checkpoint. */
 export interface ChunkReport {
     readonly chunk: number;
     readonly claimId: string;
-    /** Positions within the chunk that ended since the last report. */
+    /** Positions within the chunk of items that ended since the last report. */
     readonly ended: readonly number[];
     readonly succeeded: number;
     readonly failed: number;
     readonly attempts: Readonly<Record<number, number>>;
-    /** Gives the chunk back, so that others go on with it at once. */
+    /** Releases the claim, so that another instance can continue with the chunk immediately. */
     readonly releases: boolean;
 }
 
@@ -71,7 +72,7 @@
     readonly errorBytes: number;
 }
 
-export function createBoard(): Board {
+export function createJobProgress(): JobProgress {
     return {
         nonce: "",
         state: types.JobState.Running,
@@ -84,65 +85,65 @@
     };
 }
 
-export function hasEnded(board: Board): boolean {
-    return board.state !== types.JobState.Running;
+export function hasEnded(progress: JobProgress): boolean {
+    return progress.state !== types.JobState.Running;
 }
 
-/** Chunks that this claimer may claim now, in the order of the input. */
-export function getOpenChunks(board: Board, job: jobRecords.JobRecord, claimer: Claimer): readonly number[] {
-    if (hasEnded(board)) {
+/** Returns the chunks that this claimer may claim now, in the order of the input. */
+export function getOpenChunks(progress: JobProgress, job: jobRecords.JobRecord, claimer: Claimer): readonly number[] {
+    if (hasEnded(progress)) {
         return [];
     }
     return [...job.chunkItems.keys()].filter(chunk => {
-        const progress = board.chunks[chunk];
-        return progress?.hasEnded !== true && (progress?.claim === undefined || claimer.isAbandoned(progress.claim));
+        const current = progress.chunks[chunk];
+        return current?.hasEnded !== true && (current?.claim === undefined || claimer.isAbandoned(current.claim));
     });
 }
 
-/** Claims the given chunks where they are still open; undefined when none is. */
+/** Claims those of the given chunks that are still open, or returns undefined if none is. */
 export function claimChunks(
-    board: Board,
+    progress: JobProgress,
     job: jobRecords.JobRecord,
-    wanted: readonly number[],
+    candidates: readonly number[],
     claimer: Claimer,
-): Board | undefined {
-    const open = new Set(getOpenChunks(board, job, claimer));
-    const claimed = wanted.filter(chunk => open.has(chunk));
+): JobProgress | undefined {
+    const open = new Set(getOpenChunks(progress, job, claimer));
+    const claimed = candidates.filter(chunk => open.has(chunk));
     if (claimed.length === 0) {
         return undefined;
     }
-    const chunks = { ...board.chunks };
+    const chunks = { ...progress.chunks };
     for (const chunk of claimed) {
         const { instance, process, now } = claimer;
         const claim = { id: claimer.createId(), instance, process, renewedAt: now };
         chunks[chunk] = { ...chunks[chunk], claim };
     }
-    return { ...board, chunks };
+    return { ...progress, chunks };
 }
 
-/** Chunks of the checkpoint that somebody else holds now, or that nobody may write to any more. */
-export function getLostChunks(board: Board, checkpoint: Checkpoint): readonly number[] {
+/** Returns the checkpoint's chunks that can't be recorded: another claim replaced theirs, or the job has ended. */
+export function getLostChunks(progress: JobProgress, checkpoint: Checkpoint): readonly number[] {
     return checkpoint.reports
-        .filter(report => hasEnded(board) || board.chunks[report.chunk]?.claim?.id !== report.claimId)
+        .filter(report => hasEnded(progress) || progress.chunks[report.chunk]?.claim?.id !== report.claimId)
         .map(report => report.chunk);
 }
 
-/** Whether the checkpoint's results are on the board already: its write took effect, and the reply was lost. */
-export function isRecorded(board: Board, checkpoint: Checkpoint): boolean {
+/** Whether the checkpoint's results are already recorded: its write took effect, but the reply was lost. */
+export function isRecorded(progress: JobProgress, checkpoint: Checkpoint): boolean {
     return (
-        checkpoint.segment !== undefined && board.segments.some(segment => segment.name === checkpoint.segment?.name)
+        checkpoint.segment !== undefined && progress.segments.some(segment => segment.name === checkpoint.segment?.name)
     );
 }
 
-/** Records a checkpoint none of whose chunks is lost; the job ends with its last chunk. */
+/** Applies a checkpoint without lost chunks. The job finishes with its last chunk. */
 export function applyCheckpoint(
-    board: Board,
+    progress: JobProgress,
     job: jobRecords.JobRecord,
     checkpoint: Checkpoint,
     now: core.WallMilliseconds,
-): Board {
-    const chunks = { ...board.chunks };
-    let { succeeded, failed } = board;
+): JobProgress {
+    const chunks = { ...progress.chunks };
+    let { succeeded, failed } = progress;
     for (const report of checkpoint.reports) {
         chunks[report.chunk] = applyReport(chunks[report.chunk] ?? {}, report, job, now);
         succeeded += report.succeeded;
@@ -150,20 +151,24 @@
     }
     const isFinished = [...job.chunkItems.keys()].every(chunk => chunks[chunk]?.hasEnded === true);
     return {
-        ...board,
-        state: isFinished ? types.JobState.Finished : board.state,
-        endedAt: isFinished ? now : board.endedAt,
+        ...progress,
+        state: isFinished ? types.JobState.Finished : progress.state,
+        endedAt: isFinished ? now : progress.endedAt,
         succeeded,
         failed,
-        outputBytes: board.outputBytes + checkpoint.outputBytes,
-        errorBytes: board.errorBytes + checkpoint.errorBytes,
+        outputBytes: progress.outputBytes + checkpoint.outputBytes,
+        errorBytes: progress.errorBytes + checkpoint.errorBytes,
         chunks,
-        segments: checkpoint.segment === undefined ? board.segments : [...board.segments, checkpoint.segment],
+        segments: checkpoint.segment === undefined ? progress.segments : [...progress.segments, checkpoint.segment],
     };
 }
 
-export function endBoard(board: Board, state: types.JobState, now: core.WallMilliseconds): Board | undefined {
-    return hasEnded(board) ? undefined : { ...board, state, endedAt: now };
+export function endJob(
+    progress: JobProgress,
+    state: types.JobState,
+    now: core.WallMilliseconds,
+): JobProgress | undefined {
+    return hasEnded(progress) ? undefined : { ...progress, state, endedAt: now };
 }
 
 export function isDone(done: Uint8Array | undefined, position: number): boolean {
@@ -171,21 +176,22 @@
 }
 
 function applyReport(
-    progress: ChunkProgress,
+    chunkProgress: ChunkProgress,
     report: ChunkReport,
     job: jobRecords.JobRecord,
     now: core.WallMilliseconds,
 ): ChunkProgress {
     const items = job.chunkItems[report.chunk] ?? 0;
     const done = new Uint8Array(Math.ceil(items / 8));
-    done.set(progress.done ?? []);
+    done.set(chunkProgress.done ?? []);
     for (const position of report.ended) {
         done[position >> 3] = (done[position >> 3] ?? 0) | (1 << (position & 7));
     }
     if ([...Array(items).keys()].every(position => isDone(done, position))) {
         return { hasEnded: true };
     }
-    const claim = report.releases || progress.claim === undefined ? undefined : { ...progress.claim, renewedAt: now };
+    const claim =
+        report.releases || chunkProgress.claim === undefined ? undefined : { ...chunkProgress.claim, renewedAt: now };
     const attempts = Object.keys(report.attempts).length === 0 ? undefined : report.attempts;
     return { claim, done, attempts };
 }
--- a/packages/work/src/jobRecords.ts
+++ b/packages/work/src/jobRecords.ts
@@ -1,19 +1,19 @@
 import type * as core from "@boragedale/core";
 import type * as types from "./types.js";
 
-/** The values that files and jobs are kept in, and their keys. */
+/** The values in which files and jobs are stored, and their keys. */
 
-/** An uploaded file; its content lies in pieces of its own, each a compressed value. */
+/** An uploaded file. Its content is stored in pieces, each of which is a compressed value. */
 export interface FileRecord extends types.FileDescription {
-    /** Uncompressed bytes of each piece, in order. */
+    /** Uncompressed size of each piece, in order. */
     readonly pieces: readonly number[];
-    /** The compressed content of a file of one small piece; it saves a write for each small job. */
+    /** The compressed content of a small file. Storing it inline saves a write for each small job. */
     readonly inline?: Uint8Array;
 }
 
-/** A job as submitted; it changes once, when the job ends. What changes meanwhile is on the job's board. */
+/** A job as submitted. The record changes once, when the job ends; until then, changes go to the progress record. */
 export interface JobRecord {
-    /** Names the submission that made the record. */
+    /** Identifies the submission that created the record. */
     readonly nonce: string;
     readonly id: string;
     readonly caller: core.CallerId;
@@ -24,9 +24,9 @@
     readonly deadlineAt: core.WallMilliseconds;
     readonly metadata?: Readonly<Record<string, string>>;
     readonly total: number;
-    /** Items of each chunk. Chunks follow each other in the input without gaps. */
+    /** Number of items in each chunk. Chunks are contiguous in the input. */
     readonly chunkItems: readonly number[];
-    /** Bytes of each chunk's lines. */
+    /** Size of each chunk's lines. */
     readonly chunkBytes: readonly number[];
     readonly ended?: JobEnd;
 }
@@ -37,7 +37,7 @@
     readonly endedAt: core.WallMilliseconds;
 }
 
-/** Where a chunk lies in its job's input. */
+/** The position of a chunk in its job's input. */
 export interface ChunkRange {
     readonly chunk: number;
     readonly firstItem: number;
@@ -81,7 +81,7 @@
     return getJobsPrefix(caller) + id;
 }
 
-export function getBoardKey(job: string): string {
+export function getProgressKey(job: string): string {
     return `boards/${job}`;
 }
 
--- a/packages/work/src/jobRetention.ts
+++ b/packages/work/src/jobRetention.ts
@@ -7,43 +7,43 @@
 export interface JobRetentionOptions {
     readonly keyValue: backing.KeyValueService;
     readonly clock: core.Clock;
-    /** How long results and files stay readable, from the release note in force. */
+    /** How long results and files stay readable, from the release note in effect. */
     readonly getRetentionMilliseconds: () => number;
 }
 
 const ListLimit = 200;
-/** Segments are large: each entry of this list may be close to a megabyte. */
+/** Segments are listed in smaller pages, since each may be close to a megabyte. */
 const SegmentListLimit = 4;
 
 /**
- * Removes what is past its retention: ended jobs with their results, and files that no running job reads. Parts go
- * before the record that names them, so that an interrupted removal is found and finished by the next one.
+ * Removes ended jobs with their results and files that no running job reads, after their retention. Parts are removed
+ * before the record that refers to them, so that the next run completes an interrupted removal.
  */
 export class JobRetention {
-    private readonly vault: files.ContentStore;
+    private readonly contentStore: files.ContentStore;
 
     constructor(private readonly options: JobRetentionOptions) {
-        this.vault = new files.ContentStore(options);
+        this.contentStore = new files.ContentStore(options);
     }
 
-    /** Removes what is due now; stops early, without harm, when the service doesn't answer or `signal` is aborted. */
-    async removeOld(signal: AbortSignal): Promise<void> {
+    /** Removes everything past its retention. May stop at any point if the service fails or `signal` is aborted. */
+    async removeExpired(signal: AbortSignal): Promise<void> {
         const { clock, getRetentionMilliseconds } = this.options;
-        const before = clock.wallNow() - getRetentionMilliseconds();
+        const endedBefore = clock.wallNow() - getRetentionMilliseconds();
         const inputsInUse = new Set<string>();
-        const isWhole = await this.forEachEntry(jobRecords.JobsPrefix, signal, async entry => {
+        const isComplete = await this.forEachEntry(jobRecords.JobsPrefix, signal, async entry => {
             const job = codec.decode<jobRecords.JobRecord>(entry.value);
             if (job.ended === undefined) {
                 inputsInUse.add(job.inputFile);
                 return true;
             }
-            return job.ended.endedAt >= before || (await this.removeJob(job, entry));
+            return job.ended.endedAt >= endedBefore || (await this.removeJob(job, entry));
         });
-        // After an incomplete pass it is not known which files are still read.
-        if (isWhole) {
+        // After an incomplete pass it is not known which files are still in use.
+        if (isComplete) {
             await this.forEachEntry(jobRecords.FilesPrefix, signal, async entry => {
                 const file = codec.decode<jobRecords.FileRecord>(entry.value);
-                const isDue = file.createdAt < before && !inputsInUse.has(file.id);
+                const isDue = file.createdAt < endedBefore && !inputsInUse.has(file.id);
                 return !isDue || (await this.removeFile(file, entry));
             });
         }
@@ -52,7 +52,7 @@
     private async removeJob(job: jobRecords.JobRecord, entry: backing.Entry): Promise<boolean> {
         return (
             (await this.removePrefix(jobRecords.getResultsPrefix(job.id))) &&
-            (await this.vault.remove(jobRecords.getBoardKey(job.id), backing.CallPurpose.Checkpoint)) &&
+            (await this.contentStore.remove(jobRecords.getProgressKey(job.id), backing.CallPurpose.Checkpoint)) &&
             (await this.removeEntry(entry))
         );
     }
@@ -89,14 +89,14 @@
         return removed.ok && removed.value.swapped;
     }
 
-    /** Visits every entry; false when the service failed or a visit did. */
+    /** Visits every entry. Returns false if the service or a visit failed, or if `signal` is aborted. */
     private async forEachEntry(
         prefix: string,
         signal: AbortSignal,
         visit: (entry: backing.Entry) => Promise<boolean>,
     ): Promise<boolean> {
         let after: string | undefined;
-        let isWhole = true;
+        let isComplete = true;
         while (!signal.aborted) {
             const request = { prefix, after, limit: ListLimit, purpose: backing.CallPurpose.Read };
             const entries = await this.options.keyValue.list(request);
@@ -104,11 +104,11 @@
                 return false;
             }
             for (const entry of entries.value) {
-                isWhole = (await visit(entry)) && isWhole;
+                isComplete = (await visit(entry)) && isComplete;
             }
             after = entries.value.at(-1)?.key;
             if (entries.value.length < ListLimit) {
-                return isWhole;
+                return isComplete;
             }
         }
         return false;
--- a/packages/work/src/jobRunner.ts
+++ b/packages/work/src/jobRunner.ts
@@ -4,8 +4,8 @@
 import * as protocol from "@boragedale/protocol";
 import * as telemetry from "@boragedale/telemetry";
 import * as activeJob from "./activeJob.js";
-import * as boards from "./board.js";
-import * as boardStore from "./boardStore.js";
+import * as jobProgress from "./jobProgress.js";
+import * as jobProgressStore from "./jobProgressStore.js";
 import * as claimPlan from "./claimPlan.js";
 import * as checkpointer from "./checkpointer.js";
 import * as chunkLoader from "./chunkLoader.js";
@@ -28,49 +28,49 @@
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
     readonly instance: core.InstanceId;
-    /** Attempts that an item has, from the release note in force. */
+    /** Maximum number of attempts of an item, from the release note in effect. */
     readonly getItemAttempts?: () => number;
-    /** How long results and files stay readable, from the release note in force. */
+    /** How long results and files stay readable, from the release note in effect. */
     readonly getRetentionMilliseconds?: () => number;
-    /** Longest time for which finished items wait to be recorded. */
+    /** Maximum time until finished items are recorded. */
     readonly checkpointMilliseconds?: number;
-    /** How long a stopping runner lets running items go on. */
+    /** How long running items may continue while the runner stops. */
     readonly drainMilliseconds?: number;
     readonly createId?: () => string;
 }
 
 const DefaultItemAttempts = 3;
-const DefaultCheckpointMilliseconds = 10_000;
+const DefaultCheckpointIntervalMilliseconds = 10_000;
 const DefaultDrainMilliseconds = 10_000;
-/** With each further instance all checkpoint a little more rarely, so that the fleet's rate of writes stays bounded. */
+/** The checkpoint interval grows with the number of instances, so that the fleet's write rate stays bounded. */
 const CheckpointMillisecondsPerInstance = 100;
 const DefaultRetentionMilliseconds = 7 * 86_400_000;
-const RemovalMilliseconds = 600_000;
-const TickMilliseconds = 200;
-/** A job without open chunks is looked at again after this time, and this much more for each instance. */
+const RemovalIntervalMilliseconds = 600_000;
+const PollIntervalMilliseconds = 200;
+/** A job without open chunks is checked again after this time, which grows with the number of instances. */
 const RecheckMilliseconds = 2_000;
 const RecheckMillisecondsPerInstance = 25;
-/** A claim that nobody renewed for so long is taken over even from an instance that seems to live. */
-const ClaimMilliseconds = 900_000;
-const RenewMilliseconds = 300_000;
+/** A claim that was not renewed for this time is taken over, even from an instance that appears to be live. */
+const ClaimExpiryMilliseconds = 900_000;
+const ClaimRenewalMilliseconds = 300_000;
 
 export function createJobRunner(options: JobRunnerOptions): JobRunner {
     return new JobRunner(options);
 }
 
 /**
- * Works on the jobs of all callers: claims chunks while its executor has room, runs their items, and records results
- * by time. It holds no state that must last; after a kill another instance claims its chunks.
+ * Runs the jobs of all callers: claims chunks while its executor has free slots, runs their items and records results
+ * at intervals. All durable state is in the key-value service; after a crash another instance claims its chunks.
  */
 export class JobRunner implements AsyncDisposable {
-    private readonly boards: boardStore.BoardStore;
-    private readonly vault: files.ContentStore;
+    private readonly progressStore: jobProgressStore.JobProgressStore;
+    private readonly contentStore: files.ContentStore;
     private readonly createId: () => string;
-    private readonly process: string;
+    private readonly processId: string;
     private readonly jobs = new Map<string, activeJob.ActiveJob>();
-    private readonly claimTurns = new jobSelection.JobSelection();
-    private readonly items: itemRunner.ItemRunner;
-    private readonly reads: claimPlan.ReadBudget;
+    private readonly claimSelection = new jobSelection.JobSelection();
+    private readonly itemRunner: itemRunner.ItemRunner;
+    private readonly readBudget: claimPlan.ReadBudget;
     private readonly stopping = new AbortController();
     private readonly stopWatching = new AbortController();
     private readonly stopListening: () => void;
@@ -78,11 +78,11 @@
 
     constructor(private readonly options: JobRunnerOptions) {
         this.createId = options.createId ?? crypto.randomUUID;
-        this.process = this.createId();
-        this.reads = new claimPlan.ReadBudget(options.clock.now());
-        this.boards = new boardStore.BoardStore({ ...options, createId: this.createId });
-        this.vault = new files.ContentStore(options);
-        this.items = new itemRunner.ItemRunner({
+        this.processId = this.createId();
+        this.readBudget = new claimPlan.ReadBudget(options.clock.now());
+        this.progressStore = new jobProgressStore.JobProgressStore({ ...options, createId: this.createId });
+        this.contentStore = new files.ContentStore(options);
+        this.itemRunner = new itemRunner.ItemRunner({
             ...options,
             signal: this.stopping.signal,
             getItemAttempts: options.getItemAttempts ?? (() => DefaultItemAttempts),
@@ -103,18 +103,18 @@
             watch.run(),
             this.claimWhileRunning(),
             this.checkpointWhileRunning(),
-            this.removeOldWhileRunning(),
+            this.removeExpiredWhileRunning(),
         ];
     }
 
-    /** Stops taking work, lets running items end within the bound, records what there is, and gives its chunks back. */
+    /** Stops claiming, waits for running items until the drain timeout, records all results and releases the chunks. */
     async [Symbol.asyncDispose](): Promise<void> {
         this.stopping.abort();
         this.stopListening();
         const { clock, drainMilliseconds = DefaultDrainMilliseconds } = this.options;
-        const giveUpAt = clock.now() + drainMilliseconds;
-        while (this.getRunningCount() > 0 && clock.now() < giveUpAt) {
-            await clock.sleep(TickMilliseconds);
+        const drainUntil = clock.now() + drainMilliseconds;
+        while (this.getRunningCount() > 0 && clock.now() < drainUntil) {
+            await clock.sleep(PollIntervalMilliseconds);
         }
         this.getHeldChunks().forEach(chunk => chunk.abortRunning());
         this.stopWatching.abort();
@@ -128,26 +128,26 @@
         }
         this.jobs.set(record.id, {
             record,
-            checkpoints: new checkpointer.Checkpointer(record, { ...this.options, ...this.getStores() }),
-            held: new Map(),
+            checkpointer: new checkpointer.Checkpointer(record, { ...this.options, ...this.getStores() }),
+            heldChunks: new Map(),
             recheckAt: 0,
             isExhausted: false,
             checkpointedAt: this.options.clock.now(),
             isCheckpointing: false,
-            retryMilliseconds: activeJob.FirstRetryMilliseconds,
+            retryMilliseconds: activeJob.InitialRetryMilliseconds,
         });
     }
 
-    private getStores(): Pick<checkpointer.CheckpointerOptions, "boards" | "vault" | "createId"> {
-        return { boards: this.boards, vault: this.vault, createId: this.createId };
+    private getStores(): Pick<checkpointer.CheckpointerOptions, "progressStore" | "contentStore" | "createId"> {
+        return { progressStore: this.progressStore, contentStore: this.contentStore, createId: this.createId };
     }
 
-    /** The job has ended: stops its streams at once. A result that is on its way to the board is refused there. */
+    /** Aborts the items of a job that has ended. Checkpoints that are still being written are rejected later. */
     private dropJob(id: string): void {
         const job = this.jobs.get(id);
-        job?.held.forEach(chunk => chunk.drop());
+        job?.heldChunks.forEach(chunk => chunk.drop());
         this.jobs.delete(id);
-        this.boards.forget(id);
+        this.progressStore.forget(id);
     }
 
     private async claimWhileRunning(): Promise<void> {
@@ -155,33 +155,37 @@
         while (!this.stopping.signal.aborted) {
             await this.expireJobs();
             await this.claimWhileWanted();
-            this.items.startItems();
-            await clock.sleep(TickMilliseconds, this.stopping.signal);
+            this.itemRunner.startItems();
+            await clock.sleep(PollIntervalMilliseconds, this.stopping.signal);
         }
     }
 
     private async claimWhileWanted(): Promise<void> {
         const { clock, membership } = this.options;
-        while (claimPlan.wantsWork(this.getAtHand())) {
+        while (claimPlan.shouldClaim(this.getLocalWork())) {
             const claimable = this.getClaimable();
-            if (claimable.length === 0 || !this.reads.tryTake(clock.now(), membership.getLiveInstances().length)) {
+            if (claimable.length === 0 || !this.readBudget.tryTake(clock.now(), membership.getLiveInstances().length)) {
                 return;
             }
-            const job = this.claimTurns.choose(claimable, clock.wallNow());
+            const job = this.claimSelection.choose(claimable, clock.wallNow());
             await this.claimFrom(core.Debug.checkDefined(job, "a claimable job").active);
         }
     }
 
-    private getAtHand(): claimPlan.WorkAtHand {
+    private getLocalWork(): claimPlan.LocalWork {
         const capacity = this.options.executor.getFreeSlots() + this.getRunningCount();
-        return { chunks: this.getHeldChunks(), capacity, rate: this.items.getRate() };
+        return {
+            chunks: this.getHeldChunks(),
+            capacity,
+            itemsPerMillisecond: this.itemRunner.getItemsPerMillisecond(),
+        };
     }
 
-    /** Long enough for every job to be looked at before the first one is looked at again. */
+    /** Returns a time in which all jobs can be checked, so that none is checked twice before the others. */
     private getRecheckMilliseconds(): number {
         const instances = this.options.membership.getLiveInstances().length;
-        const wholePass = claimPlan.getPassMilliseconds(this.jobs.size, instances);
-        return Math.max(RecheckMilliseconds + RecheckMillisecondsPerInstance * instances, wholePass);
+        const passMilliseconds = claimPlan.getPassMilliseconds(this.jobs.size, instances);
+        return Math.max(RecheckMilliseconds + RecheckMillisecondsPerInstance * instances, passMilliseconds);
     }
 
     private getClaimable(): readonly (jobSelection.JobCandidate & { readonly active: activeJob.ActiveJob })[] {
@@ -194,69 +198,78 @@
     private async claimFrom(job: activeJob.ActiveJob): Promise<void> {
         const { membership, clock } = this.options;
         const { record } = job;
-        const recheck = this.getRecheckMilliseconds();
-        const read = await this.boards.read(record.id, RecheckMilliseconds);
+        const recheckMilliseconds = this.getRecheckMilliseconds();
+        const read = await this.progressStore.read(record.id, RecheckMilliseconds);
         if (read.ok) {
-            this.holdClaimed(job, read.board);
+            this.holdClaimed(job, read.progress);
         }
         const claimer = this.createClaimer();
-        const open = read.ok ? boards.getOpenChunks(read.board, record, claimer) : [];
+        const open = read.ok ? jobProgress.getOpenChunks(read.progress, record, claimer) : [];
         if (open.length === 0) {
             job.isExhausted = read.ok;
-            job.recheckAt = clock.now() + recheck;
+            job.recheckAt = clock.now() + recheckMilliseconds;
             await this.endJobIfEnded(job, read);
             return;
         }
-        // Half a share of what is open: the others look at the same board, and the last chunks must not wait behind
-        // each other on one instance.
+        // Claims half of this instance's share of the open chunks: other instances claim from the same job, and the
+        // last chunks must not queue up on one instance.
         const share = Math.ceil(open.length / (2 * Math.max(1, membership.getLiveInstances().length)));
-        const wanted = open.slice(0, share);
-        const result = await this.boards.update(record.id, backing.CallPurpose.Claim, board =>
-            boards.claimChunks(board, record, wanted.slice(0, claimPlan.getRoom(this.getAtHand(), record)), claimer),
+        const candidates = open.slice(0, share);
+        const result = await this.progressStore.update(record.id, backing.CallPurpose.Claim, progress =>
+            jobProgress.claimChunks(
+                progress,
+                record,
+                candidates.slice(0, claimPlan.getClaimLimit(this.getLocalWork(), record)),
+                claimer,
+            ),
         );
         if (!result.ok) {
-            job.recheckAt = clock.now() + recheck;
+            job.recheckAt = clock.now() + recheckMilliseconds;
             return;
         }
-        job.isExhausted = boards.getOpenChunks(result.board, record, claimer).length === 0;
-        this.holdClaimed(job, result.board);
+        job.isExhausted = jobProgress.getOpenChunks(result.progress, record, claimer).length === 0;
+        this.holdClaimed(job, result.progress);
     }
 
-    /** Takes up all chunks that the board says are this process's, also those whose claim's reply was lost. */
-    private holdClaimed(job: activeJob.ActiveJob, board: boards.Board): void {
-        if (boards.hasEnded(board)) {
+    /** Holds all chunks that this process has claimed, including those where the reply to the claim was lost. */
+    private holdClaimed(job: activeJob.ActiveJob, progress: jobProgress.JobProgress): void {
+        if (jobProgress.hasEnded(progress)) {
             return;
         }
-        for (const [name, progress] of Object.entries(board.chunks)) {
+        for (const [name, chunkProgress] of Object.entries(progress.chunks)) {
             const chunk = Number(name);
-            if (progress.claim?.process !== this.process || job.held.has(chunk)) {
+            if (chunkProgress.claim?.process !== this.processId || job.heldChunks.has(chunk)) {
                 continue;
             }
             const held = new heldChunk.HeldChunk(
                 job.record,
                 jobRecords.getChunkRange(job.record, chunk),
-                progress.claim.id,
+                chunkProgress.claim.id,
             );
-            job.held.set(chunk, held);
+            job.heldChunks.set(chunk, held);
             this.options.telemetry.record(telemetry.events.ChunkClaimed, {
                 job: job.record.id,
                 text: `chunk ${chunk}`,
             });
             void chunkLoader
-                .loadChunk(held, progress, { ...this.options, vault: this.vault, signal: this.stopping.signal })
-                .then(() => this.items.startItems());
+                .loadChunk(held, chunkProgress, {
+                    ...this.options,
+                    contentStore: this.contentStore,
+                    signal: this.stopping.signal,
+                })
+                .then(() => this.itemRunner.startItems());
         }
     }
 
-    private createClaimer(): boards.Claimer {
+    private createClaimer(): jobProgress.Claimer {
         const { instance, membership, clock } = this.options;
         const now = clock.wallNow();
-        const isAbandoned = (claim: boards.Claim): boolean =>
-            claim.process !== this.process &&
+        const isAbandoned = (claim: jobProgress.Claim): boolean =>
+            claim.process !== this.processId &&
             (claim.instance === instance ||
                 membership.isGone(claim.instance) ||
-                now - claim.renewedAt > ClaimMilliseconds);
-        return { instance, process: this.process, now, createId: this.createId, isAbandoned };
+                now - claim.renewedAt > ClaimExpiryMilliseconds);
+        return { instance, process: this.processId, now, createId: this.createId, isAbandoned };
     }
 
     private async checkpointWhileRunning(): Promise<void> {
@@ -267,107 +280,115 @@
             if (isBehind.includes(true)) {
                 continue;
             }
-            await clock.sleep(TickMilliseconds, this.stopping.signal);
+            await clock.sleep(PollIntervalMilliseconds, this.stopping.signal);
         }
     }
 
     private isCheckpointDue(job: activeJob.ActiveJob): boolean {
-        const { clock, membership, checkpointMilliseconds = DefaultCheckpointMilliseconds } = this.options;
-        const chunks = [...job.held.values()];
-        const passed = clock.now() - job.checkpointedAt;
-        if (job.checkpoints.hasPending()) {
-            return passed >= job.retryMilliseconds;
+        const { clock, membership, checkpointMilliseconds = DefaultCheckpointIntervalMilliseconds } = this.options;
+        const chunks = [...job.heldChunks.values()];
+        const elapsed = clock.now() - job.checkpointedAt;
+        if (job.checkpointer.hasPending()) {
+            return elapsed >= job.retryMilliseconds;
         }
         if (!chunks.some(chunk => chunk.hasEndedItems())) {
-            return chunks.length > 0 && passed >= RenewMilliseconds;
+            return chunks.length > 0 && elapsed >= ClaimRenewalMilliseconds;
         }
-        const fleet = membership.getLiveInstances().length * CheckpointMillisecondsPerInstance;
+        const fleetMinimum = membership.getLiveInstances().length * CheckpointMillisecondsPerInstance;
         const isLast = job.isExhausted && chunks.every(chunk => chunk.isComplete());
-        return isLast || activeJob.hasFullCheckpoint(job) || passed >= Math.max(checkpointMilliseconds, fleet);
+        return isLast || activeJob.hasFullCheckpoint(job) || elapsed >= Math.max(checkpointMilliseconds, fleetMinimum);
     }
 
-    /** Records what has ended; true when that worked and the next checkpoint is full already. */
+    /** Records ended items. Returns true if that succeeded and the next checkpoint is already full. */
     private async checkpoint(job: activeJob.ActiveJob, releases: boolean): Promise<boolean> {
-        if (job.isCheckpointing || job.held.size === 0) {
+        if (job.isCheckpointing || job.heldChunks.size === 0) {
             return false;
         }
         job.isCheckpointing = true;
-        const outcome = await job.checkpoints.record([...job.held.values()], releases);
+        const outcome = await job.checkpointer.record([...job.heldChunks.values()], releases);
         job.isCheckpointing = false;
         job.checkpointedAt = this.options.clock.now();
-        activeJob.noteCheckpoint(job, outcome.kind !== checkpointer.CheckpointKind.Delayed);
-        outcome.lost.forEach(chunk => this.loseChunk(job, chunk));
-        for (const chunk of [...job.held.keys()]) {
-            if (outcome.board?.chunks[chunk]?.hasEnded === true) {
-                job.held.delete(chunk);
-                const subject = { job: job.record.id, text: `chunk ${chunk}` };
-                this.options.telemetry.record(telemetry.events.ChunkFinished, subject);
+        activeJob.updateRetryDelay(job, outcome.kind !== checkpointer.CheckpointKind.Delayed);
+        outcome.lost.forEach(chunk => this.dropLostChunk(job, chunk));
+        for (const chunk of [...job.heldChunks.keys()]) {
+            if (outcome.progress?.chunks[chunk]?.hasEnded === true) {
+                job.heldChunks.delete(chunk);
+                const eventFields = { job: job.record.id, text: `chunk ${chunk}` };
+                this.options.telemetry.record(telemetry.events.ChunkFinished, eventFields);
             }
         }
-        if (outcome.board !== undefined && boards.hasEnded(outcome.board)) {
-            await this.endJobIfEnded(job, { ok: true, board: outcome.board });
+        if (outcome.progress !== undefined && jobProgress.hasEnded(outcome.progress)) {
+            await this.endJobIfEnded(job, { ok: true, progress: outcome.progress });
         }
         return outcome.kind === checkpointer.CheckpointKind.Recorded && activeJob.hasFullCheckpoint(job);
     }
 
-    private loseChunk(job: activeJob.ActiveJob, chunk: number): void {
-        job.held.get(chunk)?.drop();
-        job.held.delete(chunk);
+    private dropLostChunk(job: activeJob.ActiveJob, chunk: number): void {
+        job.heldChunks.get(chunk)?.drop();
+        job.heldChunks.delete(chunk);
         this.options.telemetry.record(telemetry.events.ChunkLost, { job: job.record.id, text: `chunk ${chunk}` });
     }
 
-    /** Ends jobs whose deadline has passed; one instance does it, and the others where that one is not quick. */
+    /**
+     * Ends jobs whose deadline has passed. The holder of the job's assignment and instances that hold its chunks do so
+     * immediately, the others only if the job is long overdue.
+     */
     private async expireJobs(): Promise<void> {
         const { clock, membership, instance } = this.options;
         for (const job of [...this.jobs.values()]) {
-            const late = clock.wallNow() - job.record.deadlineAt;
-            const isDuty = membership.tryGetHolder(`job/${job.record.id}`) === instance || job.held.size > 0;
-            if (late < 0 || job.recheckAt > clock.now() || (!isDuty && late < ClaimMilliseconds)) {
+            const overdueMilliseconds = clock.wallNow() - job.record.deadlineAt;
+            const isResponsible =
+                membership.tryGetHolder(`job/${job.record.id}`) === instance || job.heldChunks.size > 0;
+            if (
+                overdueMilliseconds < 0 ||
+                job.recheckAt > clock.now() ||
+                (!isResponsible && overdueMilliseconds < ClaimExpiryMilliseconds)
+            ) {
                 continue;
             }
             job.recheckAt = clock.now() + RecheckMilliseconds;
             const now = clock.wallNow();
-            const result = await this.boards.update(job.record.id, backing.CallPurpose.Claim, board =>
-                boards.endBoard(board, types.JobState.Expired, now),
+            const result = await this.progressStore.update(job.record.id, backing.CallPurpose.Claim, progress =>
+                jobProgress.endJob(progress, types.JobState.Expired, now),
             );
             await this.endJobIfEnded(job, result);
         }
     }
 
-    private async endJobIfEnded(job: activeJob.ActiveJob, read: boardStore.BoardResult): Promise<void> {
-        if (!read.ok || !boards.hasEnded(read.board)) {
+    private async endJobIfEnded(job: activeJob.ActiveJob, read: jobProgressStore.JobProgressResult): Promise<void> {
+        if (!read.ok || !jobProgress.hasEnded(read.progress)) {
             return;
         }
         this.dropJob(job.record.id);
-        const isWritten = await jobStore.endJobRecord(this.options, job.record, read.board);
+        const isWritten = await jobStore.endJobRecord(this.options, job.record, read.progress);
         if (isWritten) {
             this.options.telemetry.record(telemetry.events.JobFinished, {
                 job: job.record.id,
-                text: read.board.state,
+                text: read.progress.state,
             });
             return;
         }
-        // The record still says that the job runs: it is looked at again until its end is written.
+        // The job's record still says that it is running, so the job is checked again until its end is written.
         this.addJob(job.record);
-        const again = this.jobs.get(job.record.id);
-        if (again !== undefined) {
-            again.recheckAt = this.options.clock.now() + RecheckMilliseconds;
+        const readded = this.jobs.get(job.record.id);
+        if (readded !== undefined) {
+            readded.recheckAt = this.options.clock.now() + RecheckMilliseconds;
         }
     }
 
-    /** The holder of a job's duty looks for chunks of lost instances at once, the others when they recheck the job. */
+    /** The holder of a job's assignment checks for abandoned chunks immediately, the others at their next check. */
     private lookForAbandonedChunks(): void {
         const { membership, instance } = this.options;
         for (const job of this.jobs.values()) {
             if (membership.tryGetHolder(`job/${job.record.id}`) === instance) {
-                this.boards.forget(job.record.id);
+                this.progressStore.forget(job.record.id);
                 job.recheckAt = 0;
             }
         }
     }
 
-    /** One instance removes what is past its retention; a second one at the same time would do no harm. */
-    private async removeOldWhileRunning(): Promise<void> {
+    /** Removes expired jobs and files on one instance. It is safe if two instances do so at the same time. */
+    private async removeExpiredWhileRunning(): Promise<void> {
         const { clock, membership, instance, getRetentionMilliseconds } = this.options;
         const { signal } = this.stopping;
         const retention = new jobRetention.JobRetention({
@@ -375,15 +396,15 @@
             getRetentionMilliseconds: getRetentionMilliseconds ?? (() => DefaultRetentionMilliseconds),
         });
         while (!signal.aborted) {
-            await clock.sleep(RemovalMilliseconds, signal);
+            await clock.sleep(RemovalIntervalMilliseconds, signal);
             if (!signal.aborted && membership.tryGetHolder("jobs/retention") === instance) {
-                await retention.removeOld(signal);
+                await retention.removeExpired(signal);
             }
         }
     }
 
     private getHeldChunks(): readonly heldChunk.HeldChunk[] {
-        return [...this.jobs.values()].flatMap(job => [...job.held.values()]);
+        return [...this.jobs.values()].flatMap(job => [...job.heldChunks.values()]);
     }
 
     private getRunningCount(): number {
--- a/packages/work/src/jobSelection.ts
+++ b/packages/work/src/jobSelection.ts
@@ -8,33 +8,33 @@
     readonly deadlineAt: core.WallMilliseconds;
 }
 
-/** A job is urgent in the last fifth of its time, at most in its last five minutes. */
+/** A job is urgent in the last fifth of its time, but at most in the last five minutes. */
 const UrgentShare = 0.2;
 const UrgentMilliseconds = 300_000;
 
 /**
- * Chooses whose batch work goes next. Made for many callers with jobs of very different sizes: by deadline alone, a
- * caller with one huge early job would keep everybody else's at a standstill for hours. So callers take turns, each
- * with its earliest deadline; jobs near their deadline go before all turns, since their lateness can't be made up.
+ * Selects the job whose chunks or items are processed next. Ordered by deadline alone, one caller's huge early job
+ * would block the jobs of all other callers for hours. Callers are therefore served round-robin, each with its job of
+ * the earliest deadline. Jobs close to their deadline are selected first, since a missed deadline can't be made up for.
  */
 export class JobSelection {
-    private turn = 0;
-    private readonly lastTurns = new Map<core.CallerId, number>();
+    private lastTurn = 0;
+    private readonly lastTurnByCaller = new Map<core.CallerId, number>();
 
     choose<T extends JobCandidate>(candidates: readonly T[], now: core.WallMilliseconds): T | undefined {
         const urgent = candidates.filter(candidate => isUrgent(candidate, now));
         const chosen = urgent.length > 0 ? getFirst(urgent, isEarlier) : this.chooseByTurn(candidates);
         if (chosen !== undefined) {
-            this.lastTurns.delete(chosen.caller);
-            this.lastTurns.set(chosen.caller, ++this.turn);
+            this.lastTurnByCaller.delete(chosen.caller);
+            this.lastTurnByCaller.set(chosen.caller, ++this.lastTurn);
         }
         return chosen;
     }
 
     private chooseByTurn<T extends JobCandidate>(candidates: readonly T[]): T | undefined {
         return getFirst(candidates, (left, right) => {
-            const leftTurn = this.lastTurns.get(left.caller) ?? 0;
-            const rightTurn = this.lastTurns.get(right.caller) ?? 0;
+            const leftTurn = this.lastTurnByCaller.get(left.caller) ?? 0;
+            const rightTurn = this.lastTurnByCaller.get(right.caller) ?? 0;
             return leftTurn === rightTurn ? isEarlier(left, right) : leftTurn < rightTurn;
         });
     }
@@ -46,8 +46,8 @@
 }
 
 function isUrgent(candidate: JobCandidate, now: core.WallMilliseconds): boolean {
-    const whole = candidate.deadlineAt - candidate.createdAt;
-    return candidate.deadlineAt - now < Math.min(UrgentShare * whole, UrgentMilliseconds);
+    const duration = candidate.deadlineAt - candidate.createdAt;
+    return candidate.deadlineAt - now < Math.min(UrgentShare * duration, UrgentMilliseconds);
 }
 
 function isEarlier(left: JobCandidate, right: JobCandidate): boolean {
--- a/packages/work/src/jobStore.ts
+++ b/packages/work/src/jobStore.ts
@@ -3,8 +3,8 @@
 import * as backing from "@boragedale/backing";
 import * as protocol from "@boragedale/protocol";
 import * as telemetry from "@boragedale/telemetry";
-import * as boards from "./board.js";
-import * as boardStore from "./boardStore.js";
+import * as jobProgress from "./jobProgress.js";
+import * as jobProgressStore from "./jobProgressStore.js";
 import * as codec from "./codec.js";
 import * as files from "./files.js";
 import * as jobInput from "./jobInput.js";
@@ -21,12 +21,12 @@
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
     readonly instance: core.InstanceId;
-    /** Gives names that no other process gives; tests pass a counter. */
+    /** Returns an id that is unique across processes; tests pass a counter. */
     readonly createId?: () => string;
 }
 
-/** A holder that doesn't confirm a cancel by then finds it at its next checkpoint, which is refused. */
-const CancelNoticeMilliseconds = 1_000;
+/** A holder that doesn't confirm a cancel within this time notices it when its next checkpoint is rejected. */
+const CancelNotificationTimeoutMilliseconds = 1_000;
 const OutputSuffix = "-output";
 const ErrorsSuffix = "-errors";
 
@@ -34,17 +34,17 @@
     return new KeyValueJobStore(options);
 }
 
-/** Files and jobs as values of the platform's key-value service; this process keeps nothing that must last. */
+/** Stores files and jobs in the platform's key-value service. The process itself has no durable state. */
 export class KeyValueJobStore extends services.JobStore {
-    private readonly vault: files.ContentStore;
-    private readonly boards: boardStore.BoardStore;
+    private readonly contentStore: files.ContentStore;
+    private readonly progressStore: jobProgressStore.JobProgressStore;
     private readonly createId: () => string;
 
     constructor(private readonly options: KeyValueJobStoreOptions) {
         super();
         this.createId = options.createId ?? crypto.randomUUID;
-        this.vault = new files.ContentStore(options);
-        this.boards = new boardStore.BoardStore({ ...options, createId: this.createId });
+        this.contentStore = new files.ContentStore(options);
+        this.progressStore = new jobProgressStore.JobProgressStore({ ...options, createId: this.createId });
     }
 
     override async createFile(
@@ -54,9 +54,9 @@
         content: AsyncIterable<Uint8Array>,
     ): Promise<core.Outcome<types.FileDescription>> {
         const id = `file-${this.createId()}`;
-        const stored = await this.vault.writePieces(id, content);
+        const stored = await this.contentStore.writePieces(id, content);
         if (!stored.ok) {
-            await this.vault.removePieces(id, stored.pieces.length);
+            await this.contentStore.removePieces(id, stored.pieces.length);
             return refusals.createUnavailable();
         }
         const bytes = stored.pieces.reduce((total, piece) => total + piece, 0);
@@ -64,8 +64,8 @@
         const description: types.FileDescription = { id, caller, name, bytes, purpose, createdAt };
         const record: jobRecords.FileRecord = { ...description, pieces: stored.pieces, inline: stored.inline };
         const key = jobRecords.getFileKey(caller, id);
-        const kept = await this.vault.create(key, codec.encode(record), backing.CallPurpose.JobInput);
-        return kept.ok ? core.createSuccess(description) : refusals.createUnavailable();
+        const recordStored = await this.contentStore.create(key, codec.encode(record), backing.CallPurpose.JobInput);
+        return recordStored.ok ? core.createSuccess(description) : refusals.createUnavailable();
     }
 
     override async readFile(caller: core.CallerId, id: string): Promise<core.Outcome<types.FileDescription>> {
@@ -82,17 +82,17 @@
         if (resultsOf === undefined) {
             const key = jobRecords.getFileKey(caller, id);
             const file = await this.readRecord<jobRecords.FileRecord>(key, "file", id);
-            return file.ok ? core.createSuccess(this.vault.readRange(file.value, 0, file.value.bytes)) : file;
+            return file.ok ? core.createSuccess(this.contentStore.readRange(file.value, 0, file.value.bytes)) : file;
         }
         const job = await this.readJob(caller, resultsOf.job);
         if (!job.ok) {
             return job;
         }
-        const board = await this.boards.read(resultsOf.job);
-        if (!board.ok) {
+        const read = await this.progressStore.read(resultsOf.job);
+        if (!read.ok) {
             return refusals.createUnavailable();
         }
-        return core.createSuccess(this.readResults(resultsOf, board.board));
+        return core.createSuccess(this.readResults(resultsOf, read.progress));
     }
 
     override async submit(request: types.SubmitRequest): Promise<core.Outcome<types.JobDescription>> {
@@ -104,7 +104,7 @@
             return refusals.createUnavailable();
         }
         if (existing.value !== undefined) {
-            return this.joinJob(codec.decode(existing.value.value), request);
+            return this.resolveExistingJob(codec.decode(existing.value.value), request);
         }
         const checked = await this.checkInput(request);
         if (!checked.ok) {
@@ -120,11 +120,11 @@
         switch (written.kind) {
             case swap.WriteKind.Written:
                 this.options.telemetry.record(telemetry.events.JobAccepted, { job: id, caller });
-                return core.createSuccess(describeJob(record, boards.createBoard()));
+                return core.createSuccess(describeJob(record, jobProgress.createJobProgress()));
             case swap.WriteKind.Conflict:
                 return written.current === undefined
                     ? refusals.createUnavailable()
-                    : this.joinJob(codec.decode(written.current.value), request);
+                    : this.resolveExistingJob(codec.decode(written.current.value), request);
             case swap.WriteKind.Failed:
                 return refusals.createUnavailable();
             case swap.WriteKind.Unknown:
@@ -167,20 +167,23 @@
         }
         const now = this.options.clock.wallNow();
         let holders: ReadonlySet<core.InstanceId> = new Set();
-        const updated = await this.boards.update(id, backing.CallPurpose.Claim, board => {
-            const claims = Object.values(board.chunks).map(progress => progress.claim?.instance);
+        const updated = await this.progressStore.update(id, backing.CallPurpose.Claim, progress => {
+            const claims = Object.values(progress.chunks).map(chunkProgress => chunkProgress.claim?.instance);
             holders = new Set(claims.filter(instance => instance !== undefined));
-            return boards.endBoard(board, types.JobState.Cancelled, now);
+            return jobProgress.endJob(progress, types.JobState.Cancelled, now);
         });
         if (!updated.ok) {
             return refusals.createUnavailable(updated.mayBeWritten ? core.RunCertainty.MayHaveRun : undefined);
         }
-        const description = describeJob(record.value, updated.board);
-        if (updated.board.state !== types.JobState.Cancelled) {
-            return refusals.createStateConflict(updated.board.state, "cancelled");
+        const description = describeJob(record.value, updated.progress);
+        if (updated.progress.state !== types.JobState.Cancelled) {
+            return refusals.createStateConflict(updated.progress.state, "cancelled");
         }
-        // Both at once: a holder that the notice doesn't reach learns of the end from the record's change.
-        await Promise.all([this.tellHolders(id, holders), endJobRecord(this.options, record.value, updated.board)]);
+        // Both in parallel: a holder that can't be reached is notified by its watch on the job's record.
+        await Promise.all([
+            this.notifyHolders(id, holders),
+            endJobRecord(this.options, record.value, updated.progress),
+        ]);
         this.options.telemetry.record(telemetry.events.JobCancelled, { job: id, caller });
         return core.createSuccess(description);
     }
@@ -218,8 +221,8 @@
         };
     }
 
-    /** A job that was submitted before under the same key. */
-    private async joinJob(
+    /** Returns a job that was submitted before with the same key, or a refusal if the requests differ. */
+    private async resolveExistingJob(
         record: jobRecords.JobRecord,
         request: types.SubmitRequest,
     ): Promise<core.Outcome<types.JobDescription>> {
@@ -231,10 +234,10 @@
 
     private async describe(record: jobRecords.JobRecord): Promise<core.Outcome<types.JobDescription>> {
         if (record.ended !== undefined) {
-            return core.createSuccess(describeJob(record, boards.createBoard()));
+            return core.createSuccess(describeJob(record, jobProgress.createJobProgress()));
         }
-        const board = await this.boards.read(record.id);
-        return board.ok ? core.createSuccess(describeJob(record, board.board)) : refusals.createUnavailable();
+        const read = await this.progressStore.read(record.id);
+        return read.ok ? core.createSuccess(describeJob(record, read.progress)) : refusals.createUnavailable();
     }
 
     private readJob(caller: core.CallerId, id: string): Promise<core.Outcome<jobRecords.JobRecord>> {
@@ -260,55 +263,55 @@
         if (!job.ok) {
             return job;
         }
-        const board = await this.boards.read(resultsOf.job);
-        if (!board.ok) {
+        const read = await this.progressStore.read(resultsOf.job);
+        if (!read.ok) {
             return refusals.createUnavailable();
         }
-        const bytes = resultsOf.isErrors ? board.board.errorBytes : board.board.outputBytes;
+        const bytes = resultsOf.isErrors ? read.progress.errorBytes : read.progress.outputBytes;
         const { createdAt } = job.value;
         return core.createSuccess({ id, caller, name: `${id}.jsonl`, bytes, purpose: "batch_output", createdAt });
     }
 
-    private async *readResults(resultsOf: ResultsId, board: boards.Board): AsyncIterable<Uint8Array> {
+    private async *readResults(resultsOf: ResultsId, progress: jobProgress.JobProgress): AsyncIterable<Uint8Array> {
         const prefix = jobRecords.getResultsPrefix(resultsOf.job);
-        for (const pointer of board.segments) {
-            const bytes = pointer.inline ?? (await this.vault.readValue(prefix + pointer.name));
+        for (const pointer of progress.segments) {
+            const bytes = pointer.inline ?? (await this.contentStore.readValue(prefix + pointer.name));
             const segment = await results.decodeSegment(bytes);
             yield resultsOf.isErrors ? segment.errors : segment.output;
         }
     }
 
-    private async tellHolders(job: string, holders: ReadonlySet<core.InstanceId>): Promise<void> {
-        const notices = [...holders].map(holder =>
+    private async notifyHolders(job: string, holders: ReadonlySet<core.InstanceId>): Promise<void> {
+        const notifications = [...holders].map(holder =>
             this.options.peers.request(
                 holder,
                 { kind: protocol.MessageKind.JobCancelled, job },
-                { lane: protocol.Lane.Control, timeoutMilliseconds: CancelNoticeMilliseconds },
+                { lane: protocol.Lane.Control, timeoutMilliseconds: CancelNotificationTimeoutMilliseconds },
             ),
         );
-        await Promise.all(notices);
+        await Promise.all(notifications);
     }
 }
 
 type EndOptions = Pick<KeyValueJobStoreOptions, "keyValue" | "clock">;
 
-/** Writes the end of a job into its record; what holds is the board, so a failure here costs a later reader a read. */
+/** Writes the end of a job to its record. If this fails, readers still find the end in the progress record. */
 export async function endJobRecord(
     { keyValue, clock }: EndOptions,
     record: jobRecords.JobRecord,
-    board: boards.Board,
+    progress: jobProgress.JobProgress,
 ): Promise<boolean> {
     const key = jobRecords.getJobKey(record.caller, record.id);
     const entry = await keyValue.get(key, backing.CallPurpose.Checkpoint);
-    if (!entry.ok || entry.value === undefined || board.endedAt === undefined) {
+    if (!entry.ok || entry.value === undefined || progress.endedAt === undefined) {
         return entry.ok;
     }
     const current = codec.decode<jobRecords.JobRecord>(entry.value.value);
     if (current.ended !== undefined) {
         return true;
     }
-    const { state, counts } = describeJob(record, board);
-    const ended: jobRecords.JobEnd = { state, counts, endedAt: board.endedAt };
+    const { state, counts } = describeJob(record, progress);
+    const ended: jobRecords.JobEnd = { state, counts, endedAt: progress.endedAt };
     const written = await swap.writeValue(keyValue, clock, {
         key,
         expectedRevision: entry.value.revision,
@@ -318,11 +321,11 @@
     return written.kind === swap.WriteKind.Written;
 }
 
-export function describeJob(record: jobRecords.JobRecord, board: boards.Board): types.JobDescription {
+export function describeJob(record: jobRecords.JobRecord, progress: jobProgress.JobProgress): types.JobDescription {
     const { id, caller, inputFile, endpoint, generation, createdAt, deadlineAt, metadata, total, ended } = record;
-    const counts = ended?.counts ?? { total, succeeded: board.succeeded, failed: board.failed };
-    const state = ended?.state ?? board.state;
-    const endedAt = ended?.endedAt ?? board.endedAt;
+    const counts = ended?.counts ?? { total, succeeded: progress.succeeded, failed: progress.failed };
+    const state = ended?.state ?? progress.state;
+    const endedAt = ended?.endedAt ?? progress.endedAt;
     return { id, caller, state, counts, inputFile, endpoint, generation, createdAt, deadlineAt, endedAt, metadata };
 }
 
--- a/packages/work/src/jobWatch.ts
+++ b/packages/work/src/jobWatch.ts
@@ -7,16 +7,16 @@
     readonly keyValue: backing.KeyValueService;
     readonly clock: core.Clock;
     readonly signal: AbortSignal;
-    /** A running job was found or changed. */
+    /** Called when a running job was found or changed. */
     readonly onRunning: (record: jobRecords.JobRecord) => void;
-    /** A job has ended or is gone. */
+    /** Called when a job has ended or was removed. */
     readonly onEnded: (job: string) => void;
 }
 
 const ListLimit = 200;
 const ReconnectMilliseconds = 1_000;
 
-/** Follows the records of all jobs: one waiting watch an instance, in place of polling that grows with the fleet. */
+/** Watches the records of all jobs. One watch per instance replaces polling, whose load would grow with the fleet. */
 export class JobWatch {
     private readonly running = new Map<string, string>();
 
@@ -26,7 +26,7 @@
     async run(): Promise<void> {
         const { keyValue, clock, signal } = this.options;
         while (!signal.aborted) {
-            // Watching before listing: a job submitted between the two would otherwise wait for the next gap.
+            // Watches before listing; otherwise a job submitted between the two would be missed until the next gap.
             const watch = keyValue.watch({ prefix: jobRecords.JobsPrefix, afterRevision: 0, signal });
             const listing = this.listAll();
             for await (const event of watch) {
@@ -41,10 +41,10 @@
     private async handle(event: backing.WatchEvent): Promise<void> {
         switch (event.kind) {
             case backing.WatchEventKind.Changed:
-                this.adopt(event.entry);
+                this.handleRecord(event.entry);
                 break;
             case backing.WatchEventKind.Removed:
-                this.end(event.key);
+                this.handleEnd(event.key);
                 break;
             case backing.WatchEventKind.Gap:
                 await this.listAll();
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Reads every record; what is no longer there has ended. Tries until the service answers. */
+    /** Reads all records, with retries until the service replies. Jobs whose record is missing have ended. */
     private async listAll(): Promise<void> {
         const { keyValue, clock, signal } = this.options;
         const seen = new Set<string>();
@@ -66,7 +66,7 @@
             }
             for (const entry of entries.value) {
                 seen.add(entry.key);
-                this.adopt(entry);
+                this.handleRecord(entry);
             }
             after = entries.value.at(-1)?.key;
             if (entries.value.length < ListLimit) {
@@ -74,22 +74,22 @@
             }
         }
         if (!signal.aborted) {
-            [...this.running.keys()].filter(key => !seen.has(key)).forEach(key => this.end(key));
+            [...this.running.keys()].filter(key => !seen.has(key)).forEach(key => this.handleEnd(key));
         }
     }
 
-    private adopt(entry: backing.Entry): void {
+    private handleRecord(entry: backing.Entry): void {
         const record = codec.decode<jobRecords.JobRecord>(entry.value);
         if (record.ended !== undefined) {
             this.running.set(entry.key, record.id);
-            this.end(entry.key);
+            this.handleEnd(entry.key);
             return;
         }
         this.running.set(entry.key, record.id);
         this.options.onRunning(record);
     }
 
-    private end(key: string): void {
+    private handleEnd(key: string): void {
         const job = this.running.get(key);
         if (job !== undefined) {
             this.running.delete(key);
--- a/packages/work/src/ledgerHead.ts
+++ b/packages/work/src/ledgerHead.ts
@@ -46,8 +46,8 @@
  * Finished calls are moved from the head into a segment once they reach one of these sizes, since every commit
  * rewrites the whole head.
  */
-const SealThresholdBytes = 48_000;
-const SealThresholdCalls = 256;
+const SealBytes = 48_000;
+const SealCalls = 256;
 const CallOverheadBytes = 200;
 
 /**
@@ -197,10 +197,7 @@
 }
 
 function isSealDue(finished: readonly types.CallRecord[]): boolean {
-    return (
-        finished.length >= SealThresholdCalls ||
-        finished.reduce((sum, call) => sum + estimateBytes(call), 0) >= SealThresholdBytes
-    );
+    return finished.length >= SealCalls || finished.reduce((sum, call) => sum + estimateBytes(call), 0) >= SealBytes;
 }
 
 function isExpired(call: types.CallRecord, endedBefore: core.WallMilliseconds): boolean {
--- a/packages/work/src/refusals.ts
+++ b/packages/work/src/refusals.ts
@@ -2,10 +2,10 @@
 import type * as jobInput from "./jobInput.js";
 import type * as types from "./types.js";
 
-/** The refusals of files and jobs. */
+/** Creates the refusals of requests for files and jobs. */
 
 const RetryAfterMilliseconds = 2_000;
-const ReportedFindings = 5;
+const MaximumReportedFindings = 5;
 
 export function createUnavailable<T>(certainty: core.RunCertainty = core.RunCertainty.NotRun): core.Outcome<T> {
     return core.createFailure(
@@ -42,7 +42,7 @@
 
 export function createInputInvalid<T>(findings: readonly jobInput.InputFinding[]): core.Outcome<T> {
     const texts = findings
-        .slice(0, ReportedFindings)
+        .slice(0, MaximumReportedFindings)
         .map(finding => core.messages.formatMessage(core.messages.JobInputInvalid, finding.line, finding.text));
     return core.createFailure({
         kind: core.RefusalKind.BodyInvalid,
--- a/packages/work/src/resultBodies.ts
+++ b/packages/work/src/resultBodies.ts
@@ -40,7 +40,7 @@
         const { name, pieces } = result.storedBody;
         const parts: Uint8Array[] = [];
         for (let piece = 0; piece < pieces; piece++) {
-            const value = await this.contentStore.tryReadValue(sealedCalls.getBodyKey(name, piece));
+            const value = await this.contentStore.tryGetValue(sealedCalls.getBodyKey(name, piece));
             if (value === undefined) {
                 return undefined;
             }
--- a/packages/work/src/results.ts
+++ b/packages/work/src/results.ts
@@ -1,7 +1,7 @@
 import * as codec from "./codec.js";
 import type * as types from "./types.js";
 
-/** The results of some items: lines of the job's output and error files, in the shape of OpenAI's batch files. */
+/** The results of some items: lines of the job's output and error files, in the format of OpenAI's batch files. */
 export interface ResultSegment {
     readonly output: Uint8Array;
     readonly errors: Uint8Array;
@@ -12,7 +12,7 @@
     readonly text: string;
 }
 
-/** A line of the output file. */
+/** Formats a line of the output file. */
 export function formatSucceeded(job: string, item: types.JobItem, status: number, body: unknown): Uint8Array {
     const id = getRequestId(job, item);
     const response = { status_code: status, request_id: id, body };
@@ -25,7 +25,7 @@
     return Buffer.from(`{${parts.join(",")}}\n`);
 }
 
-/** A line of the error file. */
+/** Formats a line of the error file. */
 export function formatFailed(job: string, item: types.JobItem, failure: FailedItem): Uint8Array {
     const parts = [
         `"id":${JSON.stringify(getRequestId(job, item))}`,
