--- a/packages/work/src/checkpointer.ts
+++ b/packages/work/src/checkpointer.ts
@@ -18,7 +18,7 @@
     Recorded = "Recorded",
     /** Nothing is recorded yet; the same results are retried later. */
     Delayed = "Delayed",
-    /** The job was cancelled, expired or finished by another instance. */
+    /** The job has already ended: it was cancelled, has expired or was finished by another instance. */
     JobEnded = "JobEnded",
 }
 
--- a/packages/work/src/heldChunk.ts
+++ b/packages/work/src/heldChunk.ts
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Ends an item as failed. */
+    /** Ends an item as failed, also one that was never started because its input is missing. */
     endFailed(position: number, item: types.JobItem, failure: results.FailedItem): void {
         this.addEnded(position, false, results.formatFailed(this.job.id, item, failure));
     }
--- a/packages/work/src/ledgerRouter.ts
+++ b/packages/work/src/ledgerRouter.ts
@@ -74,7 +74,7 @@
         for (let standby = 1; standby <= MaximumStandbyHolders; standby++) {
             assignments.push(`${getLedgerDuty(shard)}/standby/${standby}`);
         }
-        const holders = assignments.map(duty => this.options.membership.tryGetHolder(duty));
+        const holders = assignments.map(assignment => this.options.membership.tryGetHolder(assignment));
         return new Set(holders.filter(holder => holder !== undefined));
     }
 
