--- a/packages/bench/src/quotas/quotaWays.ts
+++ b/packages/bench/src/quotas/quotaWays.ts
@@ -12,7 +12,7 @@
     private readonly buckets = new Map<string, customers.TokenBucket>();
 
     constructor(
-        private readonly keepers: gateway.QuotaKeepers,
+        private readonly keepers: gateway.QuotaOwners,
         private readonly clock: core.Clock,
     ) {}
 
@@ -44,7 +44,7 @@
 
     constructor(
         private readonly self: core.InstanceId,
-        private readonly keepers: gateway.QuotaKeepers,
+        private readonly keepers: gateway.QuotaOwners,
         private readonly network: protocol.PeerNetwork,
         private readonly clock: core.Clock,
     ) {
--- a/packages/bench/src/slots/slotsFleet.ts
+++ b/packages/bench/src/slots/slotsFleet.ts
@@ -41,8 +41,8 @@
 }
 
 /** A directory that lends or not as the scenario says, whatever the fleet's size. */
-class FixedHomeDirectory extends gateway.HomeDirectory {
-    override isLending(): boolean {
+class FixedHomeDirectory extends gateway.CoordinatorDirectory {
+    override areSlotsGranted(): boolean {
         return false;
     }
 }
@@ -67,16 +67,16 @@
         const draw = (): number => source.next();
         const board = new decisions.SlotBoard(draw, upstream => decisions.hashToUnit(`${id}/${upstream}`));
         const isLending = options.sharing === Sharing.Homes;
-        const homes = new (isLending ? gateway.HomeDirectory : FixedHomeDirectory)(directory, view, clock);
+        const homes = new (isLending ? gateway.CoordinatorDirectory : FixedHomeDirectory)(directory, view, clock);
         const onHomeSilent = (): void => undefined;
         const slots = new gateway.SlotSharing({
-            board,
+            slotTable: board,
             network,
             clock,
-            homes,
+            coordinators: homes,
             dataCentre,
             random: draw,
-            onHomeSilent,
+            onCoordinatorUnresponsive: onHomeSilent,
         });
         void slots.run();
         return { id, slots, network, candidates: chooseCandidates(id, view, options.sharing) };
--- a/packages/daemon/src/composition.ts
+++ b/packages/daemon/src/composition.ts
@@ -29,12 +29,12 @@
     /** The platform's store, wrapped to count calls. */
     readonly store: gateway.MetadataStore;
     readonly view: gateway.FleetView;
-    readonly storeReturn: gateway.StoreReturn;
+    readonly storeReturn: gateway.StoreRecovery;
     readonly network: protocol.WebSocketPeerNetwork;
     readonly members: gateway.MemberDirectory;
-    readonly coordinators: gateway.HomeDirectory;
+    readonly coordinators: gateway.CoordinatorDirectory;
     readonly slots: gateway.SlotSharing;
-    readonly quotaOwners: gateway.QuotaKeepers;
+    readonly quotaOwners: gateway.QuotaOwners;
     readonly quotas: gateway.CustomerQuotas;
     readonly channels: gateway.ChannelDirectory;
     readonly crashWatch: gateway.CrashWatch;
@@ -67,13 +67,13 @@
         store: awilix.asFunction(createStore).singleton(),
         view: awilix.asFunction(createView).singleton(),
         storeReturn: awilix
-            .asFunction(({ view, clock, log }: Components) => new gateway.StoreReturn(view, clock, log))
+            .asFunction(({ view, clock, log }: Components) => new gateway.StoreRecovery(view, clock, log))
             .singleton(),
         coordinators: awilix
-            .asFunction(({ members, view, clock }: Components) => new gateway.HomeDirectory(members, view, clock))
+            .asFunction(({ members, view, clock }: Components) => new gateway.CoordinatorDirectory(members, view, clock))
             .singleton(),
         slots: awilix.asFunction(createSlots).singleton(),
-        quotaOwners: awilix.asFunction(({ members }: Components) => new gateway.QuotaKeepers(members)).singleton(),
+        quotaOwners: awilix.asFunction(({ members }: Components) => new gateway.QuotaOwners(members)).singleton(),
         quotas: awilix.asFunction(createQuotas).singleton(),
         channels: awilix.asFunction(({ clock }: Components) => new gateway.ChannelDirectory(clock)).singleton(),
         crashWatch: awilix
@@ -104,7 +104,7 @@
     disposables.use(components.submissions);
     disposables.use(components.server);
     disposables.use(components.registry);
-    components.registry.watchers.forEach(watcher => components.storeReturn.follow(watcher));
+    components.registry.watchers.forEach(watcher => components.storeReturn.addWatcher(watcher));
     return components;
 }
 
@@ -157,7 +157,7 @@
         return [];
     }
     const hasLimits = components.view.getConfiguration()?.customers?.some(customer => customer.limit !== undefined);
-    return [...registry.duty.getWatchers(), ...(hasLimits === true ? components.quotaOwners.getAll() : [])];
+    return [...registry.assignment.getWatchers(), ...(hasLimits === true ? components.quotaOwners.getAll() : [])];
 }
 
 function createPlatformStore({ settings }: Components): platform.PlatformStore {
@@ -199,13 +199,13 @@
     const self = members.self.id;
     const slotTable = new decisions.SlotBoard(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
     const slots = new gateway.SlotSharing({
-        board: slotTable,
+        slotTable: slotTable,
         network,
         clock,
-        homes: coordinators,
+        coordinators: coordinators,
         dataCentre: settings.dataCentre,
         random: Math.random,
-        onHomeSilent: (coordinator, text) => log.note(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
+        onCoordinatorUnresponsive: (coordinator, text) => log.note(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
     });
     members.onChange(removedMembers => slots.forget(removedMembers));
     return slots;
@@ -222,7 +222,7 @@
 }: Components): gateway.CustomerQuotas {
     const quotas = new gateway.CustomerQuotas({
         self: members.self.id,
-        keepers: quotaOwners,
+        owners: quotaOwners,
         network,
         getCustomers: () => view.getCustomers(),
         clock,
@@ -288,7 +288,7 @@
         onFleetEntries: entries => submissions.applyEndedMarks(entries),
         random: Math.random,
     });
-    log.metrics.observeGauge("boragedale_registry_age_seconds", {}, () => registry.getAge() / 1_000);
+    log.metrics.observeGauge("boragedale_registry_age_seconds", {}, () => registry.getAgeMilliseconds() / 1_000);
     return registry;
 }
 
--- a/packages/gateway/src/callerServer.ts
+++ b/packages/gateway/src/callerServer.ts
@@ -206,7 +206,7 @@
 
     private refundQuota(quota: customerQuotas.QuotaDecision | undefined): void {
         if (quota !== undefined) {
-            this.parts.quotas.giveBack(quota);
+            this.parts.quotas.refund(quota);
         }
     }
 
--- a/packages/gateway/src/itemScheduler.ts
+++ b/packages/gateway/src/itemScheduler.ts
@@ -6,7 +6,7 @@
 import * as itemRun from "./itemRun.js";
 import * as ownedSubmission from "./ownedSubmission.js";
 import * as routeTable from "./routeTable.js";
-import * as slotLending from "./slotLending.js";
+import * as slotGranting from "./slotLending.js";
 import type * as slotSharing from "./slotSharing.js";
 import * as types from "./types.js";
 import type * as wire from "./wire.js";
@@ -139,10 +139,10 @@
     /** In a large fleet, requests slots on engines that other members coordinate. */
     private requestRemoteSlots(waiting: readonly ownedSubmission.OwnedItem[]): void {
         const service = waiting[0] === undefined ? undefined : this.tryFindDestination(waiting[0])?.service;
-        if (service === undefined || !this.parts.slots.isLending(service)) {
+        if (service === undefined || !this.parts.slots.requiresGrant(service)) {
             return;
         }
-        this.parts.slots.borrowForBatch(service, waiting.length, upstream => this.startOnRemoteSlot(service, upstream));
+        this.parts.slots.requestBatchSlots(service, waiting.length, upstream => this.startOnRemoteSlot(service, upstream));
     }
 
     /** Starts the most urgent waiting item on a granted slot. The item for which the slot was requested may have ended. */
@@ -221,20 +221,20 @@
             return true;
         }
         const { route, service } = destination;
-        const isLending = this.parts.slots.isLending(service);
+        const isLending = this.parts.slots.requiresGrant(service);
         const candidates = this.parts.view
             .getUsable(service, now)
             .map(upstream => upstream.entry)
-            .filter(entry => !isLending || this.parts.slots.isOwn(entry.id))
+            .filter(entry => !isLending || this.parts.slots.isOwnEngine(entry.id))
             .filter(entry => (this.deniedUntil.get(entry.id) ?? 0) <= now)
             .map(entry => ({
                 ...entry,
                 slots: entry.slots - (this.pendingSlotRequests.get(entry.id) ?? 0),
                 hasIdleConnection: this.parts.channels.hasIdleConnection(entry),
             }));
-        const chosen = this.parts.slots.board.tryChooseBatch(
+        const chosen = this.parts.slots.slotTable.tryChooseBatch(
             candidates,
-            slotLending.ReservedSlots,
+            slotGranting.ReservedSlots,
             this.parts.dataCentre,
             now,
         );
@@ -259,7 +259,7 @@
     ): Promise<void> {
         owned.state = ownedSubmission.ItemState.Running;
         this.pendingSlotRequests.set(upstream.id, (this.pendingSlotRequests.get(upstream.id) ?? 0) + 1);
-        const isGranted = await this.parts.slots.mayStartBatch(upstream, slotLending.ReservedSlots);
+        const isGranted = await this.parts.slots.mayStartBatch(upstream, slotGranting.ReservedSlots);
         this.pendingSlotRequests.set(upstream.id, (this.pendingSlotRequests.get(upstream.id) ?? 1) - 1);
         if (owned.state !== ownedSubmission.ItemState.Running) {
             return;
@@ -284,7 +284,7 @@
             item: owned.item.id,
             upstream: upstream.id,
             events: owned.texts.length,
-            ...this.parts.slots.board.getTotal(upstream.id),
+            ...this.parts.slots.slotTable.getTotal(upstream.id),
         });
         owned.state = ownedSubmission.ItemState.Running;
         let stopSilenceTimer = (): void => undefined;
@@ -302,7 +302,7 @@
             upstream: upstream.id,
             remainingMilliseconds: undefined,
             customer,
-            passesCredentials: this.parts.view.passesCredentials(customer),
+            passesCredentials: this.parts.view.forwardsCredentials(customer),
             lastEventId: owned.lastEventId === undefined ? undefined : String(owned.lastEventId),
         });
         const request = {
@@ -353,10 +353,10 @@
                 }
                 break;
             case kinds.NotRun:
-                this.parts.slots.board.penalize(upstream.id, now + FullPenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + FullPenaltyMilliseconds);
                 break;
             case kinds.NotSent:
-                this.parts.slots.board.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
                 break;
             case kinds.Lost:
                 owned.notBefore = now + RetryPauseMilliseconds;
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -153,7 +153,7 @@
     private abandon(progress: Progress, placement: Placement): void {
         const { id } = placement.upstream;
         if (placement.isCounted) {
-            this.parts.slots.giveBack(id);
+            this.parts.slots.returnSlot(id);
         }
         if (progress.isCallerDisconnected) {
             this.parts.log.finished(progress.request, "the caller left", id, progress);
@@ -215,10 +215,10 @@
             return undefined;
         }
         if (choice.yielder !== undefined) {
-            this.parts.slots.askToYield(choice.id, choice.yielder);
+            this.parts.slots.requestYield(choice.id, choice.yielder);
         }
         progress.knownUpstreams = usable.length;
-        progress.believed = this.parts.slots.board.getTotal(chosen.id);
+        progress.believed = this.parts.slots.slotTable.getTotal(chosen.id);
         return { upstream: chosen, isCounted: choice.isCounted };
     }
 
@@ -258,7 +258,7 @@
             remainingMilliseconds: request.deadline - startedAt,
             lastEventId,
             customer: request.customer,
-            passesCredentials: this.parts.view.passesCredentials(request.customer),
+            passesCredentials: this.parts.view.forwardsCredentials(request.customer),
         });
         const exchange = this.parts.channels
             .get(upstream)
@@ -316,7 +316,7 @@
         this.failureWatches.set(upstream.service, watch);
         const avoidedUntil = watch.noteEnd(upstream.id, isFailure, progress.knownUpstreams, now);
         if (avoidedUntil !== undefined) {
-            this.parts.slots.board.penalize(upstream.id, avoidedUntil);
+            this.parts.slots.slotTable.penalize(upstream.id, avoidedUntil);
             this.parts.log.note(gatewayLog.GatewayEvent.UpstreamAvoided, {
                 upstream: upstream.id,
                 milliseconds: avoidedUntil - now,
@@ -385,14 +385,14 @@
                 return true;
             case kinds.NotRun:
                 progress.runs--;
-                this.parts.slots.board.penalize(upstream.id, now + FullPenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + FullPenaltyMilliseconds);
                 break;
             case kinds.NotSent:
-                this.parts.slots.board.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
                 break;
             case kinds.Silent:
                 this.parts.channels.get(upstream).renew();
-                this.parts.slots.board.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
                 break;
             case kinds.Lost:
             case kinds.Stopped:
--- a/packages/gateway/src/submissionTakeover.ts
+++ b/packages/gateway/src/submissionTakeover.ts
@@ -79,7 +79,7 @@
             return;
         }
         this.registry.forgetOwners(removed);
-        const isReplaced = removed.every(id => this.parts.members.hasOtherLife(id));
+        const isReplaced = removed.every(id => this.parts.members.hasOtherIncarnation(id));
         void this.scanForOrphans(isReplaced ? ReplacedDelayMilliseconds : TakeoverDelayMilliseconds);
     }
 
@@ -124,7 +124,7 @@
         if (isOver || members.tryGet(head.owner) !== undefined) {
             return undefined;
         }
-        const successor = members.chooseHeir(id);
+        const successor = members.chooseSuccessor(id);
         return successor === members.self.id ? undefined : successor;
     }
 
@@ -154,14 +154,14 @@
         }
         const isExpired =
             clock.wallNow() - head.acceptedAt > this.parts.retentionMilliseconds + RetentionSlackMilliseconds;
-        if (isOver && isExpired && (isOwned || (!isOwnerLive && members.chooseHeir(id) === members.self.id))) {
+        if (isOver && isExpired && (isOwned || (!isOwnerLive && members.chooseSuccessor(id) === members.self.id))) {
             own?.giveUpOwnership("its retention period has ended");
             await this.parts.submissions.remove(id, stored);
             return;
         }
         // If the store applied the first write after the deadline, the head names this member as owner, but nothing runs.
         const isUnstarted = head.owner === members.self.id && !isOwned;
-        const isOrphan = !isOwnerLive && members.chooseHeir(id) === members.self.id;
+        const isOrphan = !isOwnerLive && members.chooseSuccessor(id) === members.self.id;
         if (!isOver && (isUnstarted || isOrphan)) {
             await this.takeOver(id);
         }
