--- a/packages/bench/src/batchHome.ts
+++ b/packages/bench/src/batchHome.ts
@@ -110,7 +110,7 @@
         }
         const now = this.context.simulation.now();
         const isNew = now > 0 && now - (this.movedAt.get(upstream) ?? 0) < TwoHomesTime;
-        gate.setHomes(isNew && this.movedAt.get(upstream) !== 0 ? 2 : 1);
+        gate.setCoordinatorCount(isNew && this.movedAt.get(upstream) !== 0 ? 2 : 1);
         const decision = gate.decide(now);
         for (const id of decision.streamsToCancel) {
             this.cancel(id, gate);
@@ -205,7 +205,7 @@
                 gate.onEnded(stream.id);
                 this.instance.placement.onFinished(stream.id);
                 this.instance.suspects.onFinished(stream.id, upstream);
-                this.order.settle(item.caller, 1, getCost(item), item.ownTokens / 4 + item.outputTokens);
+                this.order.correctCost(item.caller, 1, getCost(item), item.ownTokens / 4 + item.outputTokens);
                 measures.onFinished(core.RequestClass.Batch, item.caller, item.outputTokens, true);
                 this.apply(upstream);
             },
--- a/packages/bench/src/slots/slotsFleet.ts
+++ b/packages/bench/src/slots/slotsFleet.ts
@@ -65,7 +65,7 @@
         directory.apply(entries);
         const source = new random.Random(options.seed * 10_000 + index);
         const draw = (): number => source.next();
-        const board = new decisions.SlotBoard(draw, upstream => decisions.hashToUnit(`${id}/${upstream}`));
+        const board = new decisions.SlotTable(draw, upstream => decisions.hashToUnit(`${id}/${upstream}`));
         const isLending = options.sharing === Sharing.Homes;
         const homes = new (isLending ? gateway.CoordinatorDirectory : FixedHomeDirectory)(directory, view, clock);
         const onHomeSilent = (): void => undefined;
@@ -154,7 +154,7 @@
         return { ok: true, value: JSON.parse(Buffer.from(value).toString()) as gateway.UpstreamEntry };
     }
 
-    override createRetirementDone(machine: string): { readonly key: string; readonly value: Uint8Array } {
+    override createRetirementConfirmation(machine: string): { readonly key: string; readonly value: Uint8Array } {
         return { key: machine, value: new Uint8Array() };
     }
 }
--- a/packages/daemon/src/composition.ts
+++ b/packages/daemon/src/composition.ts
@@ -87,7 +87,7 @@
                 (components: Components) =>
                     new gateway.RequestForwarder({
                         ...pickSchedulerParts(components),
-                        crashes: components.crashWatch,
+                        crashWatch: components.crashWatch,
                         random: Math.random,
                     }),
             )
@@ -137,7 +137,7 @@
             kind: protocol.MessageKind.Heartbeat,
             ...gateway.describeRegistry(view, late.registry?.isWatching() === true, clock.now()),
             logicalTime: 0,
-            state: lifecycle.isStopping ? core.LifeState.Leaving : core.LifeState.Live,
+            state: lifecycle.isStopping ? core.LifecycleState.Leaving : core.LifecycleState.Live,
         }),
     });
     disposables.use(network);
@@ -190,14 +190,14 @@
 function createView({ codec, log }: Components): gateway.FleetView {
     return new gateway.FleetView(codec, findings =>
         findings.forEach(finding =>
-            log.note(gateway.GatewayEvent.EntryUnusable, { text: core.formatFinding(finding) }),
+            log.recordEvent(gateway.GatewayEvent.EntryUnusable, { text: core.formatFinding(finding) }),
         ),
     );
 }
 
 function createSlots({ members, network, clock, coordinators, settings, log }: Components): gateway.SlotSharing {
     const self = members.self.id;
-    const slotTable = new decisions.SlotBoard(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
+    const slotTable = new decisions.SlotTable(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
     const slots = new gateway.SlotSharing({
         slotTable: slotTable,
         network,
@@ -205,7 +205,7 @@
         coordinators: coordinators,
         dataCentre: settings.dataCentre,
         random: Math.random,
-        onCoordinatorUnresponsive: (coordinator, text) => log.note(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
+        onCoordinatorUnresponsive: (coordinator, text) => log.recordEvent(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
     });
     members.onChange(removedMembers => slots.forget(removedMembers));
     return slots;
@@ -248,12 +248,12 @@
 function createSubmissions(components: Components): gateway.SubmissionService {
     const { store, members, registration, network, scheduler, clock, log, settings, slots } = components;
     slots.connect(
-        upstream => scheduler.yieldPlace(upstream),
+        upstream => scheduler.yieldSlot(upstream),
         () => scheduler.dispatch(),
     );
     return new gateway.SubmissionService({
         store,
-        submissions: new gateway.SubmissionStore(store),
+        submissionStore: new gateway.SubmissionStore(store),
         members,
         registration,
         network,
@@ -285,7 +285,7 @@
         members,
         network,
         registration,
-        onFleetEntries: entries => submissions.applyEndedMarks(entries),
+        onFleetEntries: entries => submissions.applyEndMarkers(entries),
         random: Math.random,
     });
     log.metrics.observeGauge("boragedale_registry_age_seconds", {}, () => registry.getAgeMilliseconds() / 1_000);
--- a/packages/gateway/src/fleetRegistry.ts
+++ b/packages/gateway/src/fleetRegistry.ts
@@ -144,7 +144,7 @@
         const from = this.reason ?? "";
         const unheard = this.assignment.getMillisecondsSinceHeartbeat(this.parts.clock.now());
         this.reason = reason;
-        this.parts.log.note(gatewayLog.GatewayEvent.WatchDutyChanged, { from, to: reason, unheard });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.WatchDutyChanged, { from, to: reason, unheard });
         this.watchers.forEach(watcher => watcher.setActive(reason !== watchAssignment.WatchReason.Following));
     }
 
--- a/packages/gateway/src/homeDirectory.ts
+++ b/packages/gateway/src/homeDirectory.ts
@@ -94,7 +94,7 @@
         for (const { name } of services) {
             const upstreams = this.view.getUsable(name, this.clock.now()).map(known => known.entry);
             decisions
-                .assignHomes(upstreams, members)
+                .assignCoordinators(upstreams, members)
                 .forEach((coordinator, upstream) => assigned.set(upstream, coordinator));
         }
         this.enginesByCoordinator.clear();
--- a/packages/gateway/src/itemScheduler.ts
+++ b/packages/gateway/src/itemScheduler.ts
@@ -67,7 +67,7 @@
     private readonly pendingSlotRequests = new Map<core.UpstreamId, number>();
     private readonly deniedUntil = new Map<core.UpstreamId, core.MonotonicMilliseconds>();
     /** Estimates of how long items run, by route name. */
-    private readonly lengthEstimates = new Map<string, decisions.ItemLength>();
+    private readonly lengthEstimates = new Map<string, decisions.ItemDurationEstimator>();
     private isStopped = false;
 
     constructor(private readonly parts: SchedulerParts) {}
@@ -94,7 +94,7 @@
     }
 
     /** Stops the least urgent item on the upstream, to free its slot for an online request. */
-    yieldPlace(upstream: core.UpstreamId): void {
+    yieldSlot(upstream: core.UpstreamId): void {
         const getOutlook = this.createOutlookEstimator();
         let chosen: { owned: ownedSubmission.OwnedItem; run: itemRun.ItemRun } | undefined;
         for (const [owned, entry] of this.running) {
@@ -105,7 +105,7 @@
             }
         }
         if (chosen !== undefined) {
-            this.parts.log.note(gatewayLog.GatewayEvent.ItemYielded, { item: chosen.owned.item.id, upstream });
+            this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemYielded, { item: chosen.owned.item.id, upstream });
             chosen.run.stop(itemRun.ItemOutcomeKind.Stopped, "its slot was needed for an online request");
         }
     }
@@ -190,7 +190,7 @@
     }
 
     /** Returns a function that estimates when an item is due and how long it still has to run. */
-    private createOutlookEstimator(): (owned: ownedSubmission.OwnedItem) => decisions.ItemOutlook {
+    private createOutlookEstimator(): (owned: ownedSubmission.OwnedItem) => decisions.ItemEstimate {
         const wallNow = this.parts.clock.wallNow();
         const routes = this.parts.view.getRoutes();
         const routeBySubmission = new Map<ownedSubmission.OwnedSubmission, types.Route | undefined>();
@@ -200,7 +200,7 @@
                 routeBySubmission.set(owned.submission, routes?.tryFind(head.host, head.target));
             }
             const route = routeBySubmission.get(owned.submission);
-            const dueAt = head.acceptedAt + (route?.runTargetMilliseconds ?? 0);
+            const dueAt = head.acceptedAt + (route?.completionTargetMilliseconds ?? 0);
             return {
                 dueInMilliseconds: dueAt - wallNow,
                 remainingMilliseconds: this.lengthEstimates.get(route?.name ?? "")?.estimate(owned.texts.length) ?? 0,
@@ -210,7 +210,7 @@
     }
 
     private recordLength(route: types.Route, events: number, runEvents: number, milliseconds: number): void {
-        const length = this.lengthEstimates.get(route.name) ?? new decisions.ItemLength();
+        const length = this.lengthEstimates.get(route.name) ?? new decisions.ItemDurationEstimator();
         this.lengthEstimates.set(route.name, length);
         length.record(events, runEvents, milliseconds);
     }
@@ -280,7 +280,7 @@
         route: types.Route,
         isCounted: boolean,
     ): Promise<void> {
-        this.parts.log.note(gatewayLog.GatewayEvent.ItemStarted, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemStarted, {
             item: owned.item.id,
             upstream: upstream.id,
             events: owned.texts.length,
@@ -364,7 +364,7 @@
             case kinds.Stopped:
                 return;
         }
-        this.parts.log.note(gatewayLog.GatewayEvent.ItemRetried, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemRetried, {
             submission: owned.submission.getId(),
             item: owned.item.id,
             upstream: upstream.id,
@@ -375,7 +375,7 @@
     }
 
     private giveUp(owned: ownedSubmission.OwnedItem, reason: string): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.ItemGivenUp, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemGivenUp, {
             submission: owned.submission.getId(),
             item: owned.item.id,
             reason,
@@ -403,7 +403,7 @@
                 continue;
             }
             this.routeMissingSince.delete(submission);
-            if (wallNow - head.acceptedAt > route.keepMilliseconds + ExpirySlackMilliseconds) {
+            if (wallNow - head.acceptedAt > route.giveUpAfterMilliseconds + ExpirySlackMilliseconds) {
                 this.giveUpAll(submission, "it has expired");
             }
         }
--- a/packages/gateway/src/registryRelay.ts
+++ b/packages/gateway/src/registryRelay.ts
@@ -146,7 +146,7 @@
     }
 
     private logRequest(peer: core.InstanceId, after: types.Revision, entries: number, text: string): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.RegistryAsked, { peer, after, entries, text });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.RegistryAsked, { peer, after, entries, text });
     }
 
     private apply(message: protocol.RegistryEntries): void {
@@ -161,7 +161,7 @@
     }
 
     private logUnusableEntry(text: string): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.EntryUnusable, { text });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.EntryUnusable, { text });
     }
 
     private tryDecode(encoded: protocol.RegistryEntry): types.StoreEntry | undefined {
--- a/packages/gateway/src/slotLending.ts
+++ b/packages/gateway/src/slotLending.ts
@@ -28,7 +28,7 @@
 const MaximumWaitingItems = 400;
 
 export interface SlotGrantingParts {
-    readonly slotTable: decisions.SlotBoard;
+    readonly slotTable: decisions.SlotTable;
     readonly coordinators: coordinatorDirectory.CoordinatorDirectory;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
@@ -71,12 +71,12 @@
  * the load to spread over the whole fleet.
  */
 export class SlotGranting {
-    private readonly order: decisions.HomeOrder;
+    private readonly order: decisions.CoordinatorOrder;
     private readonly waiting = new Set<WaitingItem>();
     private readonly pendingBatchRequests = new Set<core.InstanceId>();
 
     constructor(private readonly parts: SlotGrantingParts) {
-        this.order = new decisions.HomeOrder(parts.random);
+        this.order = new decisions.CoordinatorOrder(parts.random);
         const { network } = parts;
         network.handle(protocol.MessageKind.SlotRequest, async (message, from) => this.grantOnline(message, from));
         network.handle(protocol.MessageKind.BatchSlotRequest, async (message, from) => {
@@ -160,7 +160,7 @@
 
     /** Drops the waiting items of removed members, and stops ranking these members as coordinators. */
     forget(removed: readonly core.InstanceId[]): void {
-        removed.forEach(member => this.order.forget(member));
+        removed.forEach(member => this.order.remove(member));
         [...this.waiting].filter(item => removed.includes(item.from)).forEach(item => item.finish(undefined));
     }
 
@@ -210,7 +210,7 @@
             return undefined;
         }
         const { upstream, waiting, free } = reply.message;
-        this.order.noteFree(coordinator, free, clock.now());
+        this.order.recordFreeSlots(coordinator, free, clock.now());
         if (upstream === undefined) {
             return undefined;
         }
@@ -223,7 +223,7 @@
     }
 
     private noteUnresponsive(coordinator: core.InstanceId, reply: protocol.PeerResult): void {
-        this.order.noteSilent(coordinator, this.parts.clock.now());
+        this.order.recordNoAnswer(coordinator, this.parts.clock.now());
         this.parts.onCoordinatorUnresponsive(coordinator, reply.ok ? reply.message.kind : `${reply.kind}: ${reply.text}`);
     }
 
--- a/packages/gateway/src/slotSharing.ts
+++ b/packages/gateway/src/slotSharing.ts
@@ -31,7 +31,7 @@
 const CoordinatedPeerExpiryMilliseconds = 3 * CoordinatedFullNoticeIntervalMilliseconds;
 
 export interface SlotSharingParts {
-    readonly slotTable: decisions.SlotBoard;
+    readonly slotTable: decisions.SlotTable;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
     readonly coordinators: coordinatorDirectory.CoordinatorDirectory;
@@ -59,7 +59,7 @@
     private readonly granting: slotGranting.SlotGranting;
     private readonly network: protocol.PeerNetwork;
     private readonly clock: core.Clock;
-    readonly slotTable: decisions.SlotBoard;
+    readonly slotTable: decisions.SlotTable;
 
     constructor(private readonly parts: SlotSharingParts) {
         const { network, clock, slotTable } = parts;
@@ -269,7 +269,7 @@
             this.slotTable.removePeer(from);
         }
         for (const [upstream, online, batch] of message.uses) {
-            this.grants.settle(from, upstream);
+            this.grants.confirm(from, upstream);
             this.slotTable.setPeer(from, upstream, { online, batch });
         }
         this.notifySlotFreed();
--- a/packages/gateway/src/storeReturn.ts
+++ b/packages/gateway/src/storeReturn.ts
@@ -36,7 +36,7 @@
         if (!this.view.noteStoreCall(outcome, now - milliseconds, now)) {
             return;
         }
-        this.log.note(gatewayLog.GatewayEvent.StoreReturned, { call, outcome });
+        this.log.recordEvent(gatewayLog.GatewayEvent.StoreReturned, { call, outcome });
         if (this.isRestartDue) {
             return;
         }
--- a/packages/standins/src/registryMember.ts
+++ b/packages/standins/src/registryMember.ts
@@ -42,7 +42,7 @@
     override finished(): void {}
     override refused(): void {}
     override attemptEnded(): void {}
-    override note(): void {}
+    override recordEvent(): void {}
 }
 
 export function startRegistryMember(
@@ -118,7 +118,7 @@
         kind: protocol.MessageKind.Heartbeat,
         ...gateway.describeRegistry(view, registry.isWatching(), now),
         logicalTime: 0,
-        state: core.LifeState.Live,
+        state: core.LifecycleState.Live,
     };
 }
 
