--- a/packages/core/src/findings.ts
+++ b/packages/core/src/findings.ts
@@ -33,11 +33,19 @@
     | { readonly ok: true; readonly value: T; readonly findings: readonly Finding[] }
     | { readonly ok: false; readonly findings: readonly Finding[] };
 
-export function createFinding(message: messages.Message, place: FindingPlace, ...values: readonly messages.Value[]): Finding {
+export function createFinding(
+    message: messages.Message,
+    place: FindingPlace,
+    ...values: readonly messages.Value[]
+): Finding {
     return { severity: Severity.Error, code: message.code, place, text: messages.formatMessage(message, ...values) };
 }
 
-export function createWarning(message: messages.Message, place: FindingPlace, ...values: readonly messages.Value[]): Finding {
+export function createWarning(
+    message: messages.Message,
+    place: FindingPlace,
+    ...values: readonly messages.Value[]
+): Finding {
     return { ...createFinding(message, place, ...values), severity: Severity.Warning };
 }
 
--- a/packages/daemon/src/composition.ts
+++ b/packages/daemon/src/composition.ts
@@ -70,7 +70,9 @@
             .asFunction(({ view, clock, log }: Components) => new gateway.StoreRecovery(view, clock, log))
             .singleton(),
         coordinators: awilix
-            .asFunction(({ members, view, clock }: Components) => new gateway.CoordinatorDirectory(members, view, clock))
+            .asFunction(
+                ({ members, view, clock }: Components) => new gateway.CoordinatorDirectory(members, view, clock),
+            )
             .singleton(),
         slots: awilix.asFunction(createSlots).singleton(),
         quotaOwners: awilix.asFunction(({ members }: Components) => new gateway.QuotaOwners(members)).singleton(),
@@ -199,13 +201,14 @@
     const self = members.self.id;
     const slotTable = new decisions.SlotTable(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
     const slots = new gateway.SlotSharing({
-        slotTable: slotTable,
+        slotTable,
         network,
         clock,
-        coordinators: coordinators,
+        coordinators,
         dataCentre: settings.dataCentre,
         random: Math.random,
-        onCoordinatorUnresponsive: (coordinator, text) => log.recordEvent(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
+        onCoordinatorUnresponsive: (coordinator, text) =>
+            log.recordEvent(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
     });
     members.onChange(removedMembers => slots.forget(removedMembers));
     return slots;
--- a/packages/entry/src/dispatch/engineChooser.ts
+++ b/packages/entry/src/dispatch/engineChooser.ts
@@ -52,7 +52,11 @@
     /** Whether a place is free where the request's prefix belongs. */
     isLocal(wish: EngineWish): boolean {
         const engines = this.options.table.listOnline(wish.base);
-        return this.options.placement.hasPrefixReplicaAvailable(createPlacementRequest(wish), engines, this.options.clock.now());
+        return this.options.placement.hasPrefixReplicaAvailable(
+            createPlacementRequest(wish),
+            engines,
+            this.options.clock.now(),
+        );
     }
 
     private listCandidates(wish: EngineWish): readonly core.UpstreamDescription[] {
--- a/packages/gateway/src/catchUpPolicy.ts
+++ b/packages/gateway/src/catchUpPolicy.ts
@@ -2,7 +2,7 @@
 import type * as protocol from "@boragedale/protocol";
 import type * as fleetView from "./fleetView.js";
 import type * as types from "./types.js";
-import * as watchAssignment from "./watchDuty.js";
+import * as watchAssignment from "./watchAssignment.js";
 
 /**
  * Minimum interval between requests for missing entries, since the update of a peer that is ahead may already be in
--- a/packages/gateway/src/fleetRegistry.ts
+++ b/packages/gateway/src/fleetRegistry.ts
@@ -9,7 +9,7 @@
 import * as registryRelay from "./registryRelay.js";
 import * as storeWatcher from "./storeWatcher.js";
 import type * as types from "./types.js";
-import * as watchAssignment from "./watchDuty.js";
+import * as watchAssignment from "./watchAssignment.js";
 import type * as wire from "./wire.js";
 
 /**
@@ -166,7 +166,9 @@
     }
 
     private getShortestGatherMilliseconds(prefix: string): number {
-        return prefix === memberDirectory.FleetPrefix && this.assignment.isLargeFleet() ? LargeFleetGatherMilliseconds : 0;
+        return prefix === memberDirectory.FleetPrefix && this.assignment.isLargeFleet()
+            ? LargeFleetGatherMilliseconds
+            : 0;
     }
 
     private apply(entries: readonly types.StoreEntry[]): void {
--- a/packages/gateway/src/itemScheduler.ts
+++ b/packages/gateway/src/itemScheduler.ts
@@ -142,7 +142,9 @@
         if (service === undefined || !this.parts.slots.requiresGrant(service)) {
             return;
         }
-        this.parts.slots.requestBatchSlots(service, waiting.length, upstream => this.startOnRemoteSlot(service, upstream));
+        this.parts.slots.requestBatchSlots(service, waiting.length, upstream =>
+            this.startOnRemoteSlot(service, upstream),
+        );
     }
 
     /** Starts the most urgent waiting item on a granted slot. The item for which the slot was requested may have ended. */
--- a/packages/gateway/src/registryRelay.ts
+++ b/packages/gateway/src/registryRelay.ts
@@ -6,7 +6,7 @@
 import * as gatewayLog from "./gatewayLog.js";
 import * as memberDirectory from "./memberDirectory.js";
 import type * as types from "./types.js";
-import type * as watchAssignment from "./watchDuty.js";
+import type * as watchAssignment from "./watchAssignment.js";
 
 /** Entries per message, so that a large view stays below a lane's frame limit. */
 const MaximumEntriesPerMessage = 200;
--- a/packages/gateway/src/slotLending.ts
+++ b/packages/gateway/src/slotLending.ts
@@ -224,7 +224,10 @@
 
     private noteUnresponsive(coordinator: core.InstanceId, reply: protocol.PeerResult): void {
         this.order.recordNoAnswer(coordinator, this.parts.clock.now());
-        this.parts.onCoordinatorUnresponsive(coordinator, reply.ok ? reply.message.kind : `${reply.kind}: ${reply.text}`);
+        this.parts.onCoordinatorUnresponsive(
+            coordinator,
+            reply.ok ? reply.message.kind : `${reply.kind}: ${reply.text}`,
+        );
     }
 
     /**
--- a/packages/gateway/src/slotSharing.ts
+++ b/packages/gateway/src/slotSharing.ts
@@ -110,7 +110,12 @@
             return this.granting.chooseOnline(service, candidates);
         }
         const { dataCentre } = this.parts;
-        const choice = this.slotTable.tryChooseOnline(candidates, dataCentre, slotGranting.ReservedSlots, this.clock.now());
+        const choice = this.slotTable.tryChooseOnline(
+            candidates,
+            dataCentre,
+            slotGranting.ReservedSlots,
+            this.clock.now(),
+        );
         return choice === undefined ? undefined : { ...choice, isCounted: false };
     }
 
@@ -292,7 +297,9 @@
 
     private forgetSilentPeers(): void {
         const now = this.clock.now();
-        const limit = this.parts.coordinators.areSlotsGranted() ? CoordinatedPeerExpiryMilliseconds : PeerExpiryMilliseconds;
+        const limit = this.parts.coordinators.areSlotsGranted()
+            ? CoordinatedPeerExpiryMilliseconds
+            : PeerExpiryMilliseconds;
         for (const [peer, at] of this.lastNoticeAt) {
             if (now - at > limit) {
                 this.forgetPeer(peer);
--- a/packages/gateway/src/submissionService.ts
+++ b/packages/gateway/src/submissionService.ts
@@ -190,7 +190,12 @@
         const { head, puts } = newRecords;
         let isUncertain = false;
         while (!this.registry.isKnown(submission.id)) {
-            const outcome = await this.parts.submissionStore.write({ submission: submission.id, head, expected: 0, puts });
+            const outcome = await this.parts.submissionStore.write({
+                submission: submission.id,
+                head,
+                expected: 0,
+                puts,
+            });
             switch (outcome.kind) {
                 case submissionStore.WriteOutcomeKind.Written:
                     this.start(submission, { head, revision: outcome.revision });
