--- a/packages/backing/src/callPacer.ts
+++ b/packages/backing/src/callPacer.ts
@@ -13,24 +13,26 @@
     types.CallPurpose.Watch,
 ];
 
-/** What one purpose may count on. */
+/** Limits of the calls of one purpose. */
 export interface PurposeLimit {
-    /** Part of the rate, 0 to 1, that more urgent purposes can't take away. All parts together stay under 1. */
-    readonly guaranteedPart: number;
-    /** Longest wait in the queue, in milliseconds; a call that would wait longer is refused at once. */
-    readonly longestWaitMilliseconds: number;
-    /** Whether calls may take the last token; others leave it, except for their guaranteed part. */
+    /** Fraction of the rate, 0 to 1, that is reserved for this purpose. All fractions together stay under 1. */
+    readonly guaranteedFraction: number;
+    /** Longest wait in the queue; a call that would wait longer is refused at once. */
+    readonly maximumWaitMilliseconds: number;
+    /** Whether calls may take the last token of the shared bucket without using their guaranteed fraction. */
     readonly mayTakeLastToken: boolean;
 }
 
 export type PurposeLimits = Readonly<Record<types.CallPurpose, PurposeLimit>>;
 
 /**
- * Urgency alone would starve leases while the ledger is busy, and the instance would lose its leases just when it has
- * most to do; so each purpose keeps a part of its own. The waits follow who waits: a caller behind `Ledger` and
- * `Note`, engines with work in hand behind the rest. For the same reason these two alone may take the last token: in
- * a large fleet a token comes every second or two, and a backlog of checkpoints that took each one as it came would
- * keep every booking waiting for the next.
+ * Limits that apply unless others are configured.
+ *
+ * Each purpose has a guaranteed fraction, because scheduling by urgency alone would starve lease calls while the ledger
+ * is busy, and the instance would lose its leases under its highest load. The maximum waits are shorter for `Ledger` and
+ * `Note`, where a caller waits for the result; for the other purposes engines that already have work wait. For the same
+ * reason only these two purposes may take the last token: in a large fleet an instance gets one token every second or
+ * two, and a backlog of checkpoints that takes each token as it arrives would make every ledger write wait for the next.
  */
 export const DefaultPurposeLimits: PurposeLimits = {
     [types.CallPurpose.Ledger]: createLimit(0.2, 2_000, true),
@@ -43,11 +45,15 @@
     [types.CallPurpose.Watch]: createLimit(0.05, 30_000),
 };
 
-function createLimit(guaranteedPart: number, longestWaitMilliseconds: number, mayTakeLastToken = false): PurposeLimit {
-    return { guaranteedPart, longestWaitMilliseconds, mayTakeLastToken };
+function createLimit(
+    guaranteedFraction: number,
+    maximumWaitMilliseconds: number,
+    mayTakeLastToken = false,
+): PurposeLimit {
+    return { guaranteedFraction, maximumWaitMilliseconds, mayTakeLastToken };
 }
 
-/** A call that waits for its turn. */
+/** A call that waits in the queue. */
 export interface PacedCall {
     readonly purpose: types.CallPurpose;
     readonly queuedAt: core.MonotonicMilliseconds;
@@ -62,58 +68,58 @@
     | { readonly kind: QueueOutcomeKind.Queued; readonly call: T }
     | { readonly kind: QueueOutcomeKind.Refused; readonly retryAfterMilliseconds: number };
 
-/** Part of the share that a burst may take at once; the steady rate is the rest, so that one second never exceeds it. */
-const BurstPart = 0.2;
-/** One token to leave for urgent calls, and one for the call that leaves it. */
-const SmallestBurst = 2;
-const SlowestFactor = 0.1;
-const FactorRecoveryPerSecond = 0.1;
+/** Fraction of the share that a burst may use at once. The steady rate is the rest, so no second exceeds the share. */
+const BurstFraction = 0.2;
+/** One token that is reserved for urgent calls, and one for a call that must leave that token. */
+const MinimumBurstTokens = 2;
+const MinimumRateFactor = 0.1;
+const RateFactorRecoveryPerSecond = 0.1;
 
 /**
- * Decides which call to the key-value service goes next, and when.
+ * Decides which call to the key-value service is sent next, and when.
  *
- * Load: a fleet whose wishes together exceed the service's rate, and a service that comes back after an outage with
- * every instance's backlog waiting. Harm prevented: the service refuses everyone's calls once its rate is exceeded,
- * the ledger's among them. Limits: the instance takes its share of the fleet's budget. In any second a share of at
- * least 10 calls is kept exactly, since burst and steady rate add up to it; a smaller one may exceed it by less than
- * two calls, which the service would notice only if all instances did so in the same second.
+ * The service refuses calls of every purpose, ledger writes included, once its rate is exceeded. This can happen when
+ * the fleet's demand exceeds that rate, or after an outage, when every instance sends its backlog. Each instance
+ * therefore keeps to its share of the fleet's budget. A share of at least 10 calls a second is never exceeded in any
+ * second, since burst and steady rate add up to it. A smaller share may be exceeded by less than two calls in a second,
+ * which overloads the service only if all instances do so in the same second.
  */
 export class CallPacer<T extends PacedCall> {
     private readonly queues = new Map<types.CallPurpose, T[]>(PurposesByUrgency.map(purpose => [purpose, []]));
-    private readonly guaranteed: Map<types.CallPurpose, TokenBucket>;
-    private readonly total: TokenBucket;
-    private share: number;
-    /** Lowered when the service throttles us: the fleet size is a lagging figure, so the share may be too large. */
-    private factor = 1;
-    private factorChangedAt = 0;
+    private readonly guaranteedBuckets: Map<types.CallPurpose, TokenBucket>;
+    private readonly totalBucket: TokenBucket;
+    private callsPerSecond: number;
+    /** Multiplies the rate. Lowered when the service throttles us: the known fleet size lags, so our share may be too large. */
+    private rateFactor = 1;
+    private rateFactorUpdatedAt = 0;
     private pausedUntil = 0;
 
-    /** `share` is this instance's part of the budget, in calls a second. */
+    /** `callsPerSecond` is this instance's share of the fleet's budget. */
     constructor(
-        share: number,
+        callsPerSecond: number,
         private readonly limits: PurposeLimits,
         now: core.MonotonicMilliseconds,
     ) {
-        this.share = share;
-        this.total = new TokenBucket(now);
-        this.guaranteed = new Map(PurposesByUrgency.map(purpose => [purpose, new TokenBucket(now)]));
+        this.callsPerSecond = callsPerSecond;
+        this.totalBucket = new TokenBucket(now);
+        this.guaranteedBuckets = new Map(PurposesByUrgency.map(purpose => [purpose, new TokenBucket(now)]));
         this.refill(now);
-        this.total.fill();
+        this.totalBucket.fill();
     }
 
-    /** Changes the share, as instances come and go. */
-    setShare(share: number, now: core.MonotonicMilliseconds): void {
+    /** Changes this instance's share of the budget, which depends on the fleet size. */
+    setCallsPerSecond(callsPerSecond: number, now: core.MonotonicMilliseconds): void {
         this.refill(now);
-        this.share = share;
+        this.callsPerSecond = callsPerSecond;
         this.refill(now);
     }
 
-    /** Queues a call, or refuses it at once where its turn would come too late. */
+    /** Queues a call, or refuses it at once if it would wait longer than its purpose allows. */
     enqueue(call: T): QueueOutcome<T> {
         const now = call.queuedAt;
         this.refill(now);
-        const wait = this.estimateWait(call.purpose, now);
-        const longest = this.limits[call.purpose].longestWaitMilliseconds;
+        const wait = this.estimateWaitMilliseconds(call.purpose, now);
+        const longest = this.limits[call.purpose].maximumWaitMilliseconds;
         if (wait > longest) {
             return { kind: QueueOutcomeKind.Refused, retryAfterMilliseconds: Math.ceil(wait - longest) };
         }
@@ -121,27 +127,27 @@
         return { kind: QueueOutcomeKind.Queued, call };
     }
 
-    /** Takes the call that goes now, or undefined where none may. */
+    /** Removes and returns the call to send now, or returns undefined if none may be sent. */
     tryTake(now: core.MonotonicMilliseconds): T | undefined {
         this.refill(now);
         const purpose = now < this.pausedUntil ? undefined : this.tryGetNextPurpose();
         if (purpose === undefined) {
             return undefined;
         }
-        this.total.take();
-        this.getGuaranteed(purpose).takeIfAny();
+        this.totalBucket.take();
+        this.getGuaranteedBucket(purpose).takeIfAny();
         return this.getQueue(purpose).shift();
     }
 
-    /** Milliseconds until a queued call may go; undefined where none is queued. */
-    getDelay(now: core.MonotonicMilliseconds): number | undefined {
+    /** Milliseconds until a queued call may be sent; undefined if none is queued. */
+    getDelayMilliseconds(now: core.MonotonicMilliseconds): number | undefined {
         this.refill(now);
         const waiting = this.getWaitingPurposes();
-        const delays = waiting.map(purpose => this.getPurposeDelay(purpose, 1, 1));
+        const delays = waiting.map(purpose => this.getPurposeDelayMilliseconds(purpose, 1, 1));
         return waiting.length === 0 ? undefined : Math.max(Math.min(...delays), this.pausedUntil - now, 0);
     }
 
-    /** Takes a call out that was given up on; false where it had gone already. */
+    /** Removes a call that was canceled; returns false if it was sent already. */
     remove(call: T): boolean {
         const queue = this.getQueue(call.purpose);
         const index = queue.indexOf(call);
@@ -151,7 +157,7 @@
         return index >= 0;
     }
 
-    /** Takes every queued call out, the most urgent first. */
+    /** Removes and returns every queued call, the most urgent first. */
     removeAll(): readonly T[] {
         return PurposesByUrgency.flatMap(purpose => this.getQueue(purpose).splice(0));
     }
@@ -160,68 +166,78 @@
         return PurposesByUrgency.reduce((sum, purpose) => sum + this.getQueue(purpose).length, 0);
     }
 
-    /** The service throttled a call: pause, then go on at half the rate and come back to it within seconds. */
+    /** Reacts to a throttled call: pauses, then continues at half the rate, which recovers within seconds. */
     slowDown(now: core.MonotonicMilliseconds, pauseMilliseconds: number): void {
         this.refill(now);
-        this.factor = Math.max(SlowestFactor, this.factor / 2);
-        this.factorChangedAt = now;
+        this.rateFactor = Math.max(MinimumRateFactor, this.rateFactor / 2);
+        this.rateFactorUpdatedAt = now;
         this.pausedUntil = Math.max(this.pausedUntil, now + pauseMilliseconds);
-        this.total.empty();
+        this.totalBucket.empty();
     }
 
     /**
-     * Starts over after an outage with less than one token, at a `phase` (0 to 1) of its own: full buckets on all
-     * instances would spend together, in one instant, far more than the service's rate. The guaranteed parts get the
-     * phase too: emptied, they would all be full again at the same later instant.
+     * Limits all buckets to `phase` tokens (0 to 1) after an outage. With full buckets, all instances together would
+     * send far more calls at once than the service's rate allows. The phase differs between instances and applies to the
+     * guaranteed buckets, too: if all of them were emptied, they would all have a token again at the same instant.
      */
     restart(now: core.MonotonicMilliseconds, phase: number): void {
         this.refill(now);
-        this.total.limitTo(phase);
-        this.guaranteed.forEach(bucket => bucket.limitTo(phase));
+        this.totalBucket.limitTo(phase);
+        this.guaranteedBuckets.forEach(bucket => bucket.limitTo(phase));
     }
 
-    /** Purposes with a guaranteed token go first, by urgency; what is left goes by urgency alone. */
+    /** Purposes with a guaranteed token come first, in order of urgency; then the others in order of urgency. */
     private tryGetNextPurpose(): types.CallPurpose | undefined {
         const waiting = this.getWaitingPurposes();
-        const guaranteed = waiting.find(purpose => this.getGuaranteed(purpose).hasToken());
+        const guaranteed = waiting.find(purpose => this.getGuaranteedBucket(purpose).hasTokens());
         if (guaranteed !== undefined) {
-            return this.total.hasToken() ? guaranteed : undefined;
+            return this.totalBucket.hasTokens() ? guaranteed : undefined;
         }
-        return waiting.find(purpose => this.total.hasToken(1 + this.getLeftTokens(purpose)));
+        return waiting.find(purpose => this.totalBucket.hasTokens(1 + this.getReservedTokens(purpose)));
     }
 
     private getWaitingPurposes(): readonly types.CallPurpose[] {
         return PurposesByUrgency.filter(purpose => this.getQueue(purpose).length > 0);
     }
 
-    /** Tokens that a call of this purpose leaves to more urgent ones. */
-    private getLeftTokens(purpose: types.CallPurpose): number {
+    /** Number of tokens that a call of this purpose must leave for more urgent calls. */
+    private getReservedTokens(purpose: types.CallPurpose): number {
         return this.limits[purpose].mayTakeLastToken ? 0 : 1;
     }
 
-    private estimateWait(purpose: types.CallPurpose, now: core.MonotonicMilliseconds): number {
+    private estimateWaitMilliseconds(purpose: types.CallPurpose, now: core.MonotonicMilliseconds): number {
         const urgency = PurposesByUrgency.indexOf(purpose);
         const before = PurposesByUrgency.slice(0, urgency + 1);
         const ahead = before.reduce((sum, other) => sum + this.getQueue(other).length, 0);
-        const wait = this.getPurposeDelay(purpose, ahead + 1, this.getQueue(purpose).length + 1);
+        const wait = this.getPurposeDelayMilliseconds(purpose, ahead + 1, this.getQueue(purpose).length + 1);
         return wait + Math.max(0, this.pausedUntil - now);
     }
 
-    /** Until the `position`th call from now by urgency, or the `ownPosition`th of the purpose's guaranteed part. */
-    private getPurposeDelay(purpose: types.CallPurpose, position: number, ownPosition: number): number {
-        const byUrgency = this.total.getDelay(position + this.getLeftTokens(purpose));
-        const byGuarantee = Math.max(this.getGuaranteed(purpose).getDelay(ownPosition), this.total.getDelay(1));
+    /**
+     * Time until the call may be sent: as the `position`th call by urgency, or as the `ownPosition`th call of the
+     * purpose's guaranteed fraction, whichever comes first.
+     */
+    private getPurposeDelayMilliseconds(purpose: types.CallPurpose, position: number, ownPosition: number): number {
+        const byUrgency = this.totalBucket.getDelayMilliseconds(position + this.getReservedTokens(purpose));
+        const byGuarantee = Math.max(
+            this.getGuaranteedBucket(purpose).getDelayMilliseconds(ownPosition),
+            this.totalBucket.getDelayMilliseconds(1),
+        );
         return Math.min(byUrgency, byGuarantee);
     }
 
     private refill(now: core.MonotonicMilliseconds): void {
-        const seconds = Math.max(0, now - this.factorChangedAt) / 1_000;
-        this.factor = Math.min(1, this.factor + seconds * FactorRecoveryPerSecond);
-        this.factorChangedAt = now;
-        const rate = this.share * (1 - BurstPart) * this.factor;
-        this.total.refill(now, rate, Math.max(SmallestBurst, this.share * BurstPart));
-        for (const [purpose, bucket] of this.guaranteed) {
-            bucket.refill(now, rate * this.limits[purpose].guaranteedPart, Math.max(1, this.share * BurstPart));
+        const seconds = Math.max(0, now - this.rateFactorUpdatedAt) / 1_000;
+        this.rateFactor = Math.min(1, this.rateFactor + seconds * RateFactorRecoveryPerSecond);
+        this.rateFactorUpdatedAt = now;
+        const rate = this.callsPerSecond * (1 - BurstFraction) * this.rateFactor;
+        this.totalBucket.refill(now, rate, Math.max(MinimumBurstTokens, this.callsPerSecond * BurstFraction));
+        for (const [purpose, bucket] of this.guaranteedBuckets) {
+            bucket.refill(
+                now,
+                rate * this.limits[purpose].guaranteedFraction,
+                Math.max(1, this.callsPerSecond * BurstFraction),
+            );
         }
     }
 
@@ -229,31 +245,31 @@
         return core.Debug.checkDefined(this.queues.get(purpose), purpose);
     }
 
-    private getGuaranteed(purpose: types.CallPurpose): TokenBucket {
-        return core.Debug.checkDefined(this.guaranteed.get(purpose), purpose);
+    private getGuaranteedBucket(purpose: types.CallPurpose): TokenBucket {
+        return core.Debug.checkDefined(this.guaranteedBuckets.get(purpose), purpose);
     }
 }
 
-/** Rounding must not make a token that is due count as missing, or the pacer would wait for nothing. */
-const Epsilon = 1e-9;
+/** Tolerance for rounding errors. Without it, a token that is due could count as missing and delay the call needlessly. */
+const TokenEpsilon = 1e-9;
 
 class TokenBucket {
     private tokens = 0;
-    private rate = 1;
+    private tokensPerSecond = 1;
     private capacity = 1;
 
     constructor(private refilledAt: core.MonotonicMilliseconds) {}
 
     refill(now: core.MonotonicMilliseconds, ratePerSecond: number, capacity: number): void {
         const seconds = Math.max(0, now - this.refilledAt) / 1_000;
-        this.rate = ratePerSecond;
+        this.tokensPerSecond = ratePerSecond;
         this.capacity = capacity;
         this.tokens = Math.min(this.capacity, this.tokens + seconds * ratePerSecond);
         this.refilledAt = now;
     }
 
-    hasToken(count = 1): boolean {
-        return this.tokens >= count - Epsilon;
+    hasTokens(count = 1): boolean {
+        return this.tokens >= count - TokenEpsilon;
     }
 
     take(): void {
@@ -261,15 +277,15 @@
     }
 
     takeIfAny(): void {
-        if (this.hasToken()) {
+        if (this.hasTokens()) {
             this.take();
         }
     }
 
-    /** Milliseconds until `count` tokens have come. */
-    getDelay(count: number): number {
+    /** Milliseconds until the bucket holds `count` tokens. */
+    getDelayMilliseconds(count: number): number {
         const missing = count - this.tokens;
-        return missing <= Epsilon ? 0 : (missing / this.rate) * 1_000;
+        return missing <= TokenEpsilon ? 0 : (missing / this.tokensPerSecond) * 1_000;
     }
 
     limitTo(tokens: number): void {
--- a/packages/backing/src/diskCache.ts
+++ b/packages/backing/src/diskCache.ts
@@ -4,9 +4,9 @@
 import * as limit from "p-limit";
 
 export interface DiskCacheOptions {
-    /** Folder that the cache has to itself; made where it is absent. */
+    /** Folder that only this cache uses; created if absent. */
     readonly folder: string;
-    /** Most bytes of entries on disk. */
+    /** Maximum size of all entries on disk, in bytes. */
     readonly maximumBytes: number;
 }
 
@@ -14,20 +14,21 @@
 const TemporarySuffix = ".new";
 
 /**
- * Values on the instance's small disk, so that they need not be read from the key-value service again; the least
- * recently used go first. An entry that is damaged or gone reads as absent: the disk saves time and never decides.
+ * Caches values on the instance's small disk, so that they need not be read from the key-value service again. Evicts the
+ * least recently used entries first. An entry that is damaged or missing reads as absent; the cache is never the source
+ * of truth.
  */
 export class DiskCache {
     /** Bytes by file name, the least recently used first. */
     private readonly sizes = new Map<string, number>();
     private bytes = 0;
-    /** A read that overlaps a write of the same key would take the entry out while its file is being made. */
-    private readonly oneAtATime = limit.default(1);
-    private nextTemporary = 1;
+    /** Runs one operation at a time: a read during a write of the same key would find no valid file and remove the entry. */
+    private readonly runExclusive = limit.default(1);
+    private nextTemporaryNumber = 1;
 
     private constructor(private readonly options: DiskCacheOptions) {}
 
-    /** Opens the cache with what is on disk. Throws where the folder can't be used: a mistake in the settings. */
+    /** Opens the cache with the entries on disk. Throws if the folder can't be used, which is a configuration error. */
     static async open(options: DiskCacheOptions): Promise<DiskCache> {
         const cache = new DiskCache(options);
         await fileSystem.mkdir(options.folder, { recursive: true });
@@ -35,22 +36,22 @@
         return cache;
     }
 
-    /** Bytes on disk. */
+    /** Size of all entries on disk, in bytes. */
     getBytes(): number {
         return this.bytes;
     }
 
     async tryGet(key: string): Promise<Uint8Array | undefined> {
-        return this.oneAtATime(() => this.tryGetNow(key));
+        return this.runExclusive(() => this.tryGetNow(key));
     }
 
-    /** Keeps a value, unless it is larger than the whole cache or the disk fails. */
+    /** Stores a value, unless it is larger than the whole cache or the disk fails. */
     async put(key: string, value: Uint8Array): Promise<void> {
-        return this.oneAtATime(() => this.putNow(key, value));
+        return this.runExclusive(() => this.putNow(key, value));
     }
 
     private async tryGetNow(key: string): Promise<Uint8Array | undefined> {
-        const name = createName(key);
+        const name = createFileName(key);
         const size = this.sizes.get(name);
         if (size === undefined) {
             return undefined;
@@ -70,7 +71,7 @@
     }
 
     private async putNow(key: string, value: Uint8Array): Promise<void> {
-        const name = createName(key);
+        const name = createFileName(key);
         const size = DigestBytes + value.byteLength;
         if (size > this.options.maximumBytes) {
             return;
@@ -78,9 +79,9 @@
         await this.remove(name);
         this.touch(name, size);
         await this.evict();
-        const temporary = this.getPath(`${name}.${this.nextTemporary++}${TemporarySuffix}`);
+        const temporary = this.getPath(`${name}.${this.nextTemporaryNumber++}${TemporarySuffix}`);
         try {
-            // A reader sees the old file, the new one or none, never half of one.
+            // The rename is atomic, so a reader never sees a partly written file.
             await fileSystem.writeFile(temporary, Buffer.concat([computeDigest(key, value), value]));
             await fileSystem.rename(temporary, this.getPath(name));
         }
@@ -114,7 +115,7 @@
         }
     }
 
-    /** Moves an entry to the end of the order, counting its bytes. */
+    /** Marks an entry as the most recently used one and updates the total size. */
     private touch(name: string, size: number): void {
         this.bytes += size - (this.sizes.get(name) ?? 0);
         this.sizes.delete(name);
@@ -133,8 +134,8 @@
     }
 }
 
-/** Keys may hold any characters and be of any length; file names may not. */
-function createName(key: string): string {
+/** Hashes the key, since keys may contain any characters and be of any length, and file names may not. */
+function createFileName(key: string): string {
     return crypto.createHash("sha256").update(key).digest("hex");
 }
 
--- a/packages/backing/src/etcdFormat.ts
+++ b/packages/backing/src/etcdFormat.ts
@@ -2,9 +2,9 @@
 import * as types from "./types.js";
 
 /**
- * etcd v3's JSON gateway, as far as it is used: keys and values in base64, 64-bit integers as text, and members that
- * hold their default left out. Each response has a header, and is taken for none without it: an empty object, as a
- * broken balancer may give, would else read as "the key is absent" or "another write won".
+ * The part of etcd v3's JSON gateway that is used here. Keys and values are in base64, 64-bit integers are text, and
+ * members with their default value are omitted. Each response must have a header: without this check, an empty object
+ * from a broken load balancer would be read as "the key is absent" or "another write won".
  */
 
 const integer = zod.string().regex(/^\d+$/);
@@ -36,7 +36,7 @@
     }),
 });
 
-/** One line of a watch. */
+/** One line of a watch's response. */
 export type WatchResult = zod.infer<typeof WatchResponse>["result"];
 
 export function encodeText(text: string): string {
@@ -55,7 +55,7 @@
     return (response.kvs ?? []).map(parseEntry);
 }
 
-/** The range of all keys with `prefix`: from it to the first key behind them; NUL stands for "to the end". */
+/** The range of all keys with `prefix`: from the prefix to the first key after them. NUL means no upper bound. */
 export function createPrefixRange(prefix: string): { readonly key: string; readonly range_end: string } {
     if (prefix === "") {
         return { key: encodeText("\0"), range_end: encodeText("\0") };
@@ -75,7 +75,7 @@
     return encodeText("\0");
 }
 
-/** One compare on the key's revision, one put or delete, and the current entry where the compare fails. */
+/** Compares the key's revision, then puts or deletes the key; returns the current entry if the comparison fails. */
 export function createTransaction(request: types.SwapRequest): unknown {
     const key = encodeText(request.key);
     const put = {
@@ -98,7 +98,7 @@
     return { swapped: false, current: current === undefined ? undefined : parseEntry(current) };
 }
 
-/** The events of one line of a watch, in order. */
+/** The events of one line of a watch's response, in order. */
 export function parseWatchEvents(response: WatchResult): readonly types.WatchEvent[] {
     return (response.events ?? []).map(event => {
         const entry = parseEntry(event.kv ?? {});
--- a/packages/backing/src/httpCall.ts
+++ b/packages/backing/src/httpCall.ts
@@ -1,13 +1,13 @@
 import type * as stream from "node:stream";
 import * as undici from "undici";
 
-/** How far a call over HTTP came. */
+/** The result of an HTTP call. */
 export enum CallOutcomeKind {
-    /** A whole response came back. */
+    /** A complete response was received. */
     Answered = "Answered",
-    /** No byte of the request left: the service can't have acted on it. */
+    /** No byte of the request was sent, so the service can't have acted on it. */
     NotSent = "NotSent",
-    /** The request may have left, and no whole response came: the service may have acted on it. */
+    /** The request may have been sent, but no complete response was received; the service may have acted on it. */
     NoReply = "NoReply",
 }
 
@@ -28,7 +28,7 @@
     readonly timeoutMilliseconds: number;
 }
 
-/** Errors that undici or the kernel give before a byte of the request is written. */
+/** Errors that undici or the kernel report before any byte of the request is written. */
 const NotSentCodes = new Set([
     "ECONNREFUSED",
     "EHOSTUNREACH",
@@ -40,10 +40,10 @@
     "UND_ERR_CLOSED",
 ]);
 
-/** Makes one call and reads the whole response. Never throws for what the network or the service does. */
+/** Makes one call and reads the whole response. Never throws for failures of the network or the service. */
 export async function call(dispatcher: undici.Dispatcher, request: CallRequest): Promise<CallOutcome> {
-    // A connection can go silent for good, so the timeout covers the whole call; its end closes the connection, and
-    // the next call opens a new one.
+    // A connection can stop delivering data without an error, so the timeout covers the whole call. When it expires, the
+    // connection is closed and the next call opens a new one.
     const signal = AbortSignal.timeout(request.timeoutMilliseconds);
     try {
         const response = await undici.request(request.url, {
@@ -60,7 +60,7 @@
     }
 }
 
-/** Opens a response that goes on; the caller reads the stream, which ends with an error when the connection does. */
+/** Opens a streamed response, which the caller reads. The stream ends with an error when the connection breaks. */
 export async function openStream(
     dispatcher: undici.Dispatcher,
     request: { readonly url: string; readonly body: unknown; readonly signal: AbortSignal },
@@ -79,7 +79,7 @@
     }
 }
 
-/** Reads a body as JSON; undefined where it is none. */
+/** Parses a body as JSON; returns undefined if it isn't valid JSON. */
 export function tryParseJson(body: Buffer | string): unknown {
     try {
         return JSON.parse(body.toString()) as unknown;
--- a/packages/backing/src/httpInstanceList.ts
+++ b/packages/backing/src/httpInstanceList.ts
@@ -7,7 +7,7 @@
 export interface HttpReaderOptions {
     /** Base URL of the service. */
     readonly url: string;
-    /** Longest time for one read, in milliseconds. */
+    /** Timeout of one read. */
     readonly timeoutMilliseconds?: number;
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/** One line that can't be read must not hide the others, so it is left out. */
+/** Returns an empty array for an invalid line, so that it doesn't hide the others. */
 function parseInstance(line: unknown): readonly core.InstanceDescription[] {
     const parsed = instanceShape.safeParse(line);
     return parsed.success ? [parsed.data] : [];
--- a/packages/backing/src/httpKeyValueService.ts
+++ b/packages/backing/src/httpKeyValueService.ts
@@ -9,11 +9,11 @@
 export interface HttpKeyValueOptions {
     /** Base URL of the JSON gateway. */
     readonly url: string;
-    /** Longest time for one call, in milliseconds. */
+    /** Timeout of one call. */
     readonly timeoutMilliseconds?: number;
-    /** A watch that brings nothing, not even a sign of life, for this long is opened again, in milliseconds. */
+    /** A watch that receives no data, not even a progress notification, for this long is reopened. */
     readonly watchSilenceMilliseconds?: number;
-    /** Wait before a watch is opened again, in milliseconds; doubled up to the maximum. */
+    /** Wait before a watch is reopened; doubles with each attempt up to a maximum. */
     readonly watchRetryMilliseconds?: number;
 }
 
@@ -21,12 +21,12 @@
 const DefaultWatchSilenceMilliseconds = 30_000;
 const DefaultWatchRetryMilliseconds = 100;
 const MaximumWatchRetryMilliseconds = 5_000;
-/** Errors of the gateway that are given before a write is proposed; any other server error may hide a write. */
+/** Errors that the gateway reports before it proposes a write; after any other server error the write may have taken effect. */
 const RefusedBeforeWrite = /no leader|not capable|corrupt/;
 
 /**
- * The key-value service over etcd v3's JSON gateway. A failed call is told apart by whether the service can have acted
- * on it: a refused connection is `Unavailable`, a write that left and brought no reply is `ReplyLost`.
+ * The key-value service over etcd v3's JSON gateway. Failures are distinguished by whether the service can have acted on
+ * the call: a refused connection is `Unavailable`, a write that was sent but got no reply is `ReplyLost`.
  */
 export class HttpKeyValueService extends services.KeyValueService implements AsyncDisposable {
     private readonly dispatcher: undici.Agent;
@@ -49,7 +49,7 @@
 
     override async list(request: types.ListRequest): Promise<types.KeyValueResult<readonly types.Entry[]>> {
         const range = etcdFormat.createPrefixRange(request.prefix);
-        // The key right behind another one in byte order is that key with NUL added.
+        // In byte order, the first possible key after a given one is that key with NUL appended.
         const key = request.after === undefined ? range.key : etcdFormat.encodeText(`${request.after}\0`);
         const body = { ...range, key, limit: String(request.limit) };
         const result = await this.post("/v3/kv/range", body, etcdFormat.RangeResponse, false);
@@ -89,7 +89,7 @@
             for await (const response of this.openWatch({ ...request, afterRevision })) {
                 wait = this.options.watchRetryMilliseconds ?? DefaultWatchRetryMilliseconds;
                 if (response.canceled === true) {
-                    // Changes behind `compact_revision` are forgotten, so the reader can't have seen all of them.
+                    // The service has discarded the changes before `compact_revision`, so some may have been missed.
                     afterRevision = Number(response.header.revision ?? response.compact_revision ?? 0);
                     yield { kind: types.WatchEventKind.Gap, revision: afterRevision };
                     break;
@@ -108,7 +108,7 @@
         await this.dispatcher.destroy();
     }
 
-    /** One connection of a watch; ends when it breaks, goes silent, or is aborted. */
+    /** Reads one connection of a watch; ends when the connection breaks, receives no data for too long, or is aborted. */
     private async *openWatch(request: types.WatchRequest): AsyncIterable<etcdFormat.WatchResult> {
         const silence = new SilenceGuard(
             this.clock,
@@ -162,7 +162,7 @@
     }
 }
 
-/** Aborts its signal when `restart` was not called for a time. */
+/** Aborts its signal if `restart` isn't called for `milliseconds`. */
 class SilenceGuard {
     private readonly controller = new AbortController();
     private cancel: () => void = () => undefined;
@@ -188,7 +188,7 @@
     }
 }
 
-/** Splits a stream into lines; ends quietly when the stream breaks. */
+/** Splits a stream into lines; ends without an error when the stream breaks. */
 async function* readLines(body: AsyncIterable<Buffer>, onData: () => void): AsyncIterable<string> {
     let rest = Buffer.alloc(0);
     try {
@@ -229,8 +229,8 @@
         const retryAfterMilliseconds = Number(retryAfter ?? 1) * 1_000 || 1_000;
         return { kind: types.KeyValueFailureKind.Throttled, text, retryAfterMilliseconds };
     }
-    // A 4xx was refused as it stands, but for 408, which a balancer gives for a request that it has passed on. etcd
-    // itself gives "request timed out" as a 503 for writes that it applies later.
+    // A 4xx means that the request was refused, except for 408, which a load balancer returns for a request that it has
+    // forwarded. etcd itself returns 503 "request timed out" for writes that it may apply later.
     const isAnswer = status >= 400 && status < 500 && status !== 408;
     const isRefused = isAnswer || RefusedBeforeWrite.test(text);
     return { kind: isRefused ? types.KeyValueFailureKind.Unavailable : uncertain, text, isAnswer };
--- a/packages/backing/src/httpWeightStore.ts
+++ b/packages/backing/src/httpWeightStore.ts
@@ -6,7 +6,7 @@
 
 const DefaultTimeoutMilliseconds = 2_000;
 
-/** The weight store over HTTP. Only sizes are asked here; engines fetch the weights themselves. */
+/** The weight store over HTTP. Requests only sizes; engines download the weights themselves. */
 export class HttpWeightStore extends services.WeightStore implements AsyncDisposable {
     private readonly dispatcher = new undici.Agent();
 
--- a/packages/backing/src/leaseKeeper.ts
+++ b/packages/backing/src/leaseKeeper.ts
@@ -2,73 +2,73 @@
 import type * as services from "./services.js";
 import type * as types from "./types.js";
 
-/** A lease while it is held. */
+/** A lease that this instance holds. */
 export interface HeldLease {
     readonly id: types.LeaseId;
-    /** Aborted before the service ends the lease; what rests on the lease stops then. */
-    readonly lapsed: AbortSignal;
+    /** Aborted before the lease expires at the service, so that work that depends on the lease can stop in time. */
+    readonly expirySignal: AbortSignal;
 }
 
-export interface LeaseKeeperOptions {
+export interface LeaseRenewerOptions {
     readonly service: services.KeyValueService;
     readonly clock: core.Clock;
-    /** How long the service holds the lease after each sign of life, in milliseconds. */
-    readonly milliseconds: number;
+    /** How long the service keeps the lease after it was granted or last renewed. */
+    readonly leaseMilliseconds: number;
 }
 
-/** A lease is kept alive this often while it lasts, so two lost calls in a row don't end it. */
+/** Number of renewals within the duration of one lease. With 4, two lost calls in a row don't end the lease. */
 const KeepAlivesPerLease = 4;
-/** Part of the lease that is given up for certain: clocks that run apart, and the time to stop what rests on it. */
-const SafetyPart = 0.15;
+/** Fraction of the lease that isn't used, to allow for clock drift and for the time to stop work that depends on the lease. */
+const SafetyMarginFraction = 0.15;
 
-interface Holding {
+interface ActiveLease {
     readonly id: types.LeaseId;
     readonly controller: AbortController;
-    heldUntil: core.MonotonicMilliseconds;
-    stopTimer: () => void;
+    validUntil: core.MonotonicMilliseconds;
+    cancelTimer: () => void;
 }
 
 /**
- * Keeps one lease, and takes a new one when it was lost. Time is counted on the monotonic clock from the moment a call
- * was *sent*: the service counts from the moment it got it, so the holder always stops first. After a pause of the
- * process the timer may fire late, so `tryGetLease` compares the clock itself. Writes under the lease stay fenced by
- * their revision all the same; the lease only saves wasted work.
+ * Keeps one lease renewed, and requests a new one when it is lost. Its duration is measured on the monotonic clock from
+ * the moment when a call was *sent*; the service measures from the moment when it received the call, so the holder always
+ * stops first. After the process was paused, the timer may fire late, so `tryGetLease` checks the clock itself. Writes
+ * under the lease are still fenced by their revision; the lease only avoids wasted work.
  */
-export class LeaseKeeper implements AsyncDisposable {
-    private holding: Holding | undefined;
+export class LeaseRenewer implements AsyncDisposable {
+    private lease: ActiveLease | undefined;
     private readonly stopped = new AbortController();
     private readonly task: Promise<void>;
 
-    constructor(private readonly options: LeaseKeeperOptions) {
-        this.task = this.keep();
+    constructor(private readonly options: LeaseRenewerOptions) {
+        this.task = this.run();
     }
 
-    /** The lease, where it is certain to be held now. */
+    /** Returns the lease, or undefined unless it is certain that the service still holds it. */
     tryGetLease(): HeldLease | undefined {
-        const { holding } = this;
-        if (holding === undefined) {
+        const { lease } = this;
+        if (lease === undefined) {
             return undefined;
         }
-        if (this.options.clock.now() >= holding.heldUntil) {
-            this.drop(holding);
+        if (this.options.clock.now() >= lease.validUntil) {
+            this.expire(lease);
             return undefined;
         }
-        return { id: holding.id, lapsed: holding.controller.signal };
+        return { id: lease.id, expirySignal: lease.controller.signal };
     }
 
-    /** Tells holders that the lease has ended, then revokes it so that others need not wait for its end. */
+    /** Aborts the lease's signal, then revokes the lease so that others need not wait until it expires. */
     async [Symbol.asyncDispose](): Promise<void> {
-        const { holding } = this;
+        const { lease } = this;
         this.stopped.abort();
-        if (holding !== undefined) {
-            this.drop(holding);
-            await this.options.service.revokeLease(holding.id);
+        if (lease !== undefined) {
+            this.expire(lease);
+            await this.options.service.revokeLease(lease.id);
         }
         await this.task;
     }
 
-    private async keep(): Promise<void> {
-        const { clock, milliseconds } = this.options;
+    private async run(): Promise<void> {
+        const { clock, leaseMilliseconds } = this.options;
         while (!this.stopped.signal.aborted) {
             if (this.tryGetLease() === undefined) {
                 await this.grant();
@@ -76,14 +76,14 @@
             else {
                 await this.keepAlive();
             }
-            await clock.sleep(milliseconds / KeepAlivesPerLease, this.stopped.signal);
+            await clock.sleep(leaseMilliseconds / KeepAlivesPerLease, this.stopped.signal);
         }
     }
 
     private async grant(): Promise<void> {
-        const { clock, milliseconds, service } = this.options;
+        const { clock, leaseMilliseconds, service } = this.options;
         const sentAt = clock.now();
-        const granted = await service.grantLease(milliseconds);
+        const granted = await service.grantLease(leaseMilliseconds);
         if (!granted.ok) {
             return;
         }
@@ -92,42 +92,42 @@
             return;
         }
         const controller = new AbortController();
-        const holding: Holding = { id: granted.value, controller, heldUntil: 0, stopTimer: () => undefined };
-        this.holding = holding;
-        this.extend(holding, sentAt);
+        const lease: ActiveLease = { id: granted.value, controller, validUntil: 0, cancelTimer: () => undefined };
+        this.lease = lease;
+        this.extend(lease, sentAt);
     }
 
     private async keepAlive(): Promise<void> {
-        const { holding } = this;
-        if (holding === undefined) {
+        const { lease } = this;
+        if (lease === undefined) {
             return;
         }
         const sentAt = this.options.clock.now();
-        const kept = await this.options.service.keepLeaseAlive(holding.id);
-        if (!kept.ok || holding.controller.signal.aborted) {
+        const kept = await this.options.service.keepLeaseAlive(lease.id);
+        if (!kept.ok || lease.controller.signal.aborted) {
             return;
         }
         if (kept.value) {
-            this.extend(holding, sentAt);
+            this.extend(lease, sentAt);
         }
         else {
-            this.drop(holding);
+            this.expire(lease);
             await this.grant();
         }
     }
 
-    private extend(holding: Holding, sentAt: core.MonotonicMilliseconds): void {
-        const { clock, milliseconds } = this.options;
-        holding.stopTimer();
-        holding.heldUntil = sentAt + milliseconds * (1 - SafetyPart);
-        holding.stopTimer = clock.schedule(holding.heldUntil - clock.now(), () => this.drop(holding));
+    private extend(lease: ActiveLease, sentAt: core.MonotonicMilliseconds): void {
+        const { clock, leaseMilliseconds } = this.options;
+        lease.cancelTimer();
+        lease.validUntil = sentAt + leaseMilliseconds * (1 - SafetyMarginFraction);
+        lease.cancelTimer = clock.schedule(lease.validUntil - clock.now(), () => this.expire(lease));
     }
 
-    private drop(holding: Holding): void {
-        holding.stopTimer();
-        holding.controller.abort();
-        if (this.holding === holding) {
-            this.holding = undefined;
+    private expire(lease: ActiveLease): void {
+        lease.cancelTimer();
+        lease.controller.abort();
+        if (this.lease === lease) {
+            this.lease = undefined;
         }
     }
 }
--- a/packages/backing/src/pacedKeyValueService.ts
+++ b/packages/backing/src/pacedKeyValueService.ts
@@ -1,66 +1,68 @@
 import type * as core from "@boragedale/core";
 import * as telemetry from "@boragedale/telemetry";
 import * as callPacer from "./callPacer.js";
-import * as readSharing from "./readSharing.js";
+import * as readCoalescer from "./readSharing.js";
 import * as serviceHealth from "./serviceHealth.js";
 import * as services from "./services.js";
 import * as types from "./types.js";
 
-/** What the fleet together may ask of the service, in calls a second. */
+/** Calls a second that all instances of the fleet together may send to the service. */
 export interface CallBudget {
     readonly writesPerSecond: number;
     readonly readsPerSecond: number;
 }
 
-/** The platform promises "several hundred" writes and about two thousand reads; other users of it get the rest. */
+/** The platform guarantees "several hundred" writes and about two thousand reads; the rest is for its other users. */
 export const DefaultCallBudget: CallBudget = { writesPerSecond: 300, readsPerSecond: 1_600 };
 
 export interface PacedKeyValueOptions {
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
-    /** Number of live instances, this one among them; a lagging figure will do. */
+    /** Number of live instances, including this one; it may be out of date by seconds. */
     readonly getFleetSize: () => number;
-    /** Part of the ledger's shards that this instance holds, 0 to 1; without it all share alike. */
+    /** Fraction of the ledger's shards that this instance holds, 0 to 1. If absent, all instances get equal shares. */
     readonly getLedgerPart?: () => number;
-    /** Gives numbers from 0 up to 1. */
+    /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
     readonly random: () => number;
     readonly budget?: CallBudget;
     readonly limits?: callPacer.PurposeLimits;
-    /** Longest time that a call may take once it has left, in milliseconds. */
+    /** Timeout of a call, from the moment when it is sent. */
     readonly timeoutMilliseconds?: number;
 }
 
 /**
- * Part of the fleet's writes that goes to the holders of the ledger's shards. With equal shares 400 instances have 0.75
- * writes a second each, and the few that hold shards would make a booking wait seconds for its commit while the budget of
- * all others lies idle. Two holders of one shard, for seconds while a duty moves, exceed the budget by that shard's share.
+ * Fraction of the fleet's write budget that is reserved for the holders of ledger shards. With equal shares, each of 400
+ * instances has 0.75 writes a second; a ledger write at one of the few shard holders would wait seconds while the budget
+ * of all other instances is unused. While a shard moves, two instances may hold it for seconds; the fleet then exceeds
+ * its budget by that shard's share.
  */
-const LedgerPartOfWrites = 0.5;
+const LedgerWriteFraction = 0.5;
 
 const DefaultTimeoutMilliseconds = 3_000;
 const ReadAttempts = 3;
 const ReadRetryMilliseconds = 50;
-const DefaultPauseMilliseconds = 500;
-/** Read while the service is down, to see whether it answers; the key needs no entry. */
+const DefaultThrottlePauseMilliseconds = 500;
+/** Key that is read to check whether the service answers again after an outage; it needs no entry. */
 const ProbeKey = "boragedale/probe";
 
 interface WaitingCall extends callPacer.PacedCall {
-    readonly finish: (failure: types.KeyValueFailure | undefined) => void;
+    readonly settle: (failure: types.KeyValueFailure | undefined) => void;
 }
 
 /**
- * The one way from an instance to the key-value service. It keeps to the instance's share of the fleet's budget, lets
- * urgent purposes go first, shares identical reads, repeats reads, bounds each call's time, and fails calls at once
- * while the service is down. A call that never left is `Unavailable` or `Throttled`, so that `not run` can be said.
+ * The client through which an instance makes all its calls to the key-value service. It keeps to the instance's share of
+ * the fleet's budget, sends urgent purposes first, coalesces identical reads, retries reads, limits the time of each
+ * call, and fails calls immediately while the service is down. A call that was never sent fails as `Unavailable` or
+ * `Throttled`, so that the caller can be told that its request did not run.
  */
 export class PacedKeyValueService extends services.KeyValueService implements AsyncDisposable {
     private readonly health = new serviceHealth.ServiceHealth();
-    private readonly sharing = new readSharing.ReadSharing();
+    private readonly coalescer = new readCoalescer.ReadCoalescer();
     private readonly writes: callPacer.CallPacer<WaitingCall>;
     private readonly reads: callPacer.CallPacer<WaitingCall>;
     private readonly stopped = new AbortController();
     private isProbing = false;
-    private readonly pumps = new Map<callPacer.CallPacer<WaitingCall>, () => void>();
+    private readonly pumpTimers = new Map<callPacer.CallPacer<WaitingCall>, () => void>();
 
     constructor(
         private readonly inner: services.KeyValueService,
@@ -77,7 +79,7 @@
         metrics.observeGauge("boragedale_key_value_up", {}, () => (this.isDown() ? 0 : 1));
     }
 
-    /** Whether calls fail at once because the service does not answer. */
+    /** Whether calls fail immediately because the service doesn't answer. */
     isDown(): boolean {
         return this.health.getState() === serviceHealth.HealthState.Down;
     }
@@ -114,11 +116,11 @@
         return this.inner.watch({ ...request, admit: () => this.admitWatch(request.signal) });
     }
 
-    /** Fails what waits, at once and as not written; calls that have left end by themselves. */
+    /** Fails queued calls immediately, as not written. Calls that were sent already run to their end. */
     async [Symbol.asyncDispose](): Promise<void> {
         this.stopped.abort();
         this.failQueued("the client was closed");
-        this.pumps.forEach(stop => stop());
+        this.pumpTimers.forEach(stop => stop());
     }
 
     private async read<T>(
@@ -128,7 +130,7 @@
     ): Promise<types.KeyValueResult<T>> {
         const countShared = (): void =>
             this.options.telemetry.metrics.count("boragedale_key_value_shared_reads_total", { purpose });
-        return this.sharing.run(name, () => this.readRepeatedly(purpose, call), countShared);
+        return this.coalescer.run(name, () => this.readRepeatedly(purpose, call), countShared);
     }
 
     private async readRepeatedly<T>(
@@ -160,20 +162,20 @@
     ): Promise<types.KeyValueResult<T>> {
         const refused = await this.waitForTurn(pacer, purpose);
         if (refused !== undefined) {
-            const isBudget = refused.kind === types.KeyValueFailureKind.Throttled;
-            this.count(purpose, isBudget ? "RefusedByBudget" : "RefusedByOutage");
+            const isOverBudget = refused.kind === types.KeyValueFailureKind.Throttled;
+            this.countCall(purpose, isOverBudget ? "RefusedByBudget" : "RefusedByOutage");
             return { ok: false, failure: refused };
         }
         const { clock, telemetry } = this.options;
         const start = clock.now();
         const result = await this.callWithTimeout(pacer === this.writes, call);
         telemetry.metrics.recordDuration("boragedale_key_value_call_seconds", { purpose }, clock.now() - start);
-        this.count(purpose, result.ok ? "Answered" : result.failure.kind);
-        this.noteResult(pacer, result);
+        this.countCall(purpose, result.ok ? "Answered" : result.failure.kind);
+        this.recordResult(pacer, result);
         return result;
     }
 
-    /** Resolves to undefined when the call may go, or to why it does not. */
+    /** Resolves to undefined when the call may be sent, or to the reason why it may not. */
     private waitForTurn(
         pacer: callPacer.CallPacer<WaitingCall>,
         purpose: types.CallPurpose,
@@ -184,36 +186,36 @@
         }
         this.updateShares();
         return new Promise(resolve => {
-            const limit = (this.options.limits ?? callPacer.DefaultPurposeLimits)[purpose].longestWaitMilliseconds;
+            const limit = (this.options.limits ?? callPacer.DefaultPurposeLimits)[purpose].maximumWaitMilliseconds;
             const stopTimer = clock.schedule(limit, () => {
                 if (pacer.remove(call)) {
-                    resolve(createThrottled(limit));
+                    resolve(createThrottledFailure(limit));
                 }
             });
-            const finish = (failure: types.KeyValueFailure | undefined): void => {
+            const settle = (failure: types.KeyValueFailure | undefined): void => {
                 stopTimer();
                 resolve(failure);
             };
-            const call: WaitingCall = { purpose, queuedAt: clock.now(), finish };
+            const call: WaitingCall = { purpose, queuedAt: clock.now(), settle };
             const outcome = pacer.enqueue(call);
             if (outcome.kind === callPacer.QueueOutcomeKind.Refused) {
-                finish(createThrottled(outcome.retryAfterMilliseconds));
+                settle(createThrottledFailure(outcome.retryAfterMilliseconds));
                 return;
             }
             this.pump(pacer);
         });
     }
 
-    /** Lets go what may go now, and comes back when the next one may. */
+    /** Sends the queued calls that may be sent now, and schedules itself for the next one. */
     private pump(pacer: callPacer.CallPacer<WaitingCall>): void {
         const { clock } = this.options;
-        this.pumps.get(pacer)?.();
+        this.pumpTimers.get(pacer)?.();
         for (let call = pacer.tryTake(clock.now()); call !== undefined; call = pacer.tryTake(clock.now())) {
-            call.finish(undefined);
+            call.settle(undefined);
         }
-        const delay = pacer.getDelay(clock.now());
+        const delay = pacer.getDelayMilliseconds(clock.now());
         if (delay !== undefined) {
-            this.pumps.set(
+            this.pumpTimers.set(
                 pacer,
                 clock.schedule(Math.max(1, delay), () => this.pump(pacer)),
             );
@@ -234,19 +236,19 @@
         });
     }
 
-    private noteResult(pacer: callPacer.CallPacer<WaitingCall>, result: types.KeyValueResult<unknown>): void {
+    private recordResult(pacer: callPacer.CallPacer<WaitingCall>, result: types.KeyValueResult<unknown>): void {
         if (!result.ok && isUnanswered(result.failure)) {
-            if (this.health.noteSilence()) {
+            if (this.health.recordMissingAnswer()) {
                 this.enterOutage(result.failure.text);
             }
             return;
         }
         if (!result.ok && result.failure.kind === types.KeyValueFailureKind.Throttled) {
-            const pause = result.failure.retryAfterMilliseconds ?? DefaultPauseMilliseconds;
-            // The pause differs between instances; else all of them would come back at the same instant.
+            const pause = result.failure.retryAfterMilliseconds ?? DefaultThrottlePauseMilliseconds;
+            // The pause is randomized so that the instances don't all resume at the same instant.
             pacer.slowDown(this.options.clock.now(), pause * (1 + this.options.random()));
         }
-        if (this.health.noteAnswer()) {
+        if (this.health.recordAnswer()) {
             this.leaveOutage();
         }
     }
@@ -264,7 +266,7 @@
         this.reads.restart(clock.now(), random());
     }
 
-    /** One task that runs as long as the service is down. */
+    /** Probes the service until it is up again. At most one such task runs at a time. */
     private async probe(): Promise<void> {
         const { clock, random } = this.options;
         if (this.isProbing) {
@@ -272,28 +274,29 @@
         }
         this.isProbing = true;
         while (this.isDown() && !this.stopped.signal.aborted) {
-            await clock.sleep(this.health.takeProbeDelay(random()), this.stopped.signal);
+            await clock.sleep(this.health.advanceProbeDelay(random()), this.stopped.signal);
             if (this.stopped.signal.aborted || !this.isDown()) {
                 break;
             }
             const purpose = types.CallPurpose.Read;
             const result = await this.callWithTimeout(false, () => this.inner.get(ProbeKey, purpose));
-            this.count(purpose, result.ok ? "Answered" : result.failure.kind);
-            this.noteResult(this.reads, result);
+            this.countCall(purpose, result.ok ? "Answered" : result.failure.kind);
+            this.recordResult(this.reads, result);
         }
         this.isProbing = false;
     }
 
-    /** A watch has nobody to refuse: it waits for its turn, through an outage too, until it is aborted. */
+    /** Waits until a watch may connect. Nobody could handle a refusal, so it waits through outages, too, until aborted. */
     private async admitWatch(signal: AbortSignal): Promise<void> {
         const purpose = types.CallPurpose.Watch;
         while (!signal.aborted && !this.stopped.signal.aborted) {
             const refused = await this.waitForTurn(this.reads, purpose);
             if (refused === undefined) {
-                this.count(purpose, "Answered");
+                this.countCall(purpose, "Answered");
                 return;
             }
-            const wait = (refused.retryAfterMilliseconds ?? DefaultPauseMilliseconds) * (1 + this.options.random());
+            const wait =
+                (refused.retryAfterMilliseconds ?? DefaultThrottlePauseMilliseconds) * (1 + this.options.random());
             await this.options.clock.sleep(wait, AbortSignal.any([signal, this.stopped.signal]));
         }
     }
@@ -301,27 +304,27 @@
     private failQueued(text: string): void {
         const failure = this.createDownFailure(text);
         for (const call of [...this.writes.removeAll(), ...this.reads.removeAll()]) {
-            call.finish(failure);
+            call.settle(failure);
         }
     }
 
     private createDownFailure(text: string): types.KeyValueFailure {
-        const retryAfterMilliseconds = this.health.getRetryAfter();
+        const retryAfterMilliseconds = this.health.getRetryAfterMilliseconds();
         return { kind: types.KeyValueFailureKind.Unavailable, text, retryAfterMilliseconds };
     }
 
     private updateShares(): void {
         const now = this.options.clock.now();
         const share = this.getShare();
-        this.writes.setShare(share.writesPerSecond, now);
-        this.reads.setShare(share.readsPerSecond, now);
+        this.writes.setCallsPerSecond(share.writesPerSecond, now);
+        this.reads.setCallsPerSecond(share.readsPerSecond, now);
     }
 
     private getShare(): CallBudget {
         const budget = this.options.budget ?? DefaultCallBudget;
         const fleetSize = Math.max(1, this.options.getFleetSize());
         const ledgerPart = this.options.getLedgerPart?.();
-        const ledgerWrites = ledgerPart === undefined ? 0 : budget.writesPerSecond * LedgerPartOfWrites;
+        const ledgerWrites = ledgerPart === undefined ? 0 : budget.writesPerSecond * LedgerWriteFraction;
         const commonWrites = budget.writesPerSecond - ledgerWrites;
         return {
             writesPerSecond: commonWrites / fleetSize + ledgerWrites * (ledgerPart ?? 0),
@@ -329,17 +332,17 @@
         };
     }
 
-    private count(purpose: types.CallPurpose, result: string): void {
+    private countCall(purpose: types.CallPurpose, result: string): void {
         this.options.telemetry.metrics.count("boragedale_key_value_calls_total", { purpose, result });
     }
 }
 
-/** Whether the service gave no answer at all; one that refuses a call as it stands is up. */
+/** Whether the service gave no answer at all. A service that refuses a particular call is up. */
 function isUnanswered(failure: types.KeyValueFailure): boolean {
     return failure.kind !== types.KeyValueFailureKind.Throttled && failure.isAnswer !== true;
 }
 
-function createThrottled(retryAfterMilliseconds: number): types.KeyValueFailure {
+function createThrottledFailure(retryAfterMilliseconds: number): types.KeyValueFailure {
     const text = "not sent: this instance's share of the call budget is used up";
     return { kind: types.KeyValueFailureKind.Throttled, text, retryAfterMilliseconds };
 }
--- a/packages/backing/src/readSharing.ts
+++ b/packages/backing/src/readSharing.ts
@@ -1,41 +1,41 @@
-interface ReadSlot {
+interface ReadState {
     readonly current: Promise<unknown>;
     next?: Promise<unknown>;
 }
 
 /**
- * Joins identical reads. A reader never joins a read that has already left: that one may show the state from before
- * the reader's own last write. It shares the next one, which starts when the current one ends, so there are never more
- * than two for a key however many readers there are.
+ * Coalesces identical reads. A reader never joins a read that was already sent, since that read may return the state from
+ * before the reader's own last write. Instead it shares the next one, which starts when the current one ends. So there
+ * are never more than two reads for a key, regardless of the number of readers.
  */
-export class ReadSharing {
-    private readonly slots = new Map<string, ReadSlot>();
+export class ReadCoalescer {
+    private readonly readsByKey = new Map<string, ReadState>();
 
-    /** Runs `read`, or joins the identical one that has not begun; `onShared` is called in that case. */
-    async run<T>(key: string, read: () => Promise<T>, onShared: () => void): Promise<T> {
-        const slot = this.slots.get(key);
-        if (slot === undefined) {
+    /** Runs `read`, or joins an identical read that has not started yet and calls `onJoined`. */
+    async run<T>(key: string, read: () => Promise<T>, onJoined: () => void): Promise<T> {
+        const state = this.readsByKey.get(key);
+        if (state === undefined) {
             return this.start(key, read);
         }
-        if (slot.next === undefined) {
+        if (state.next === undefined) {
             const begin = (): Promise<T> => this.start(key, read);
-            slot.next = slot.current.then(begin, begin);
+            state.next = state.current.then(begin, begin);
         }
         else {
-            onShared();
+            onJoined();
         }
-        return slot.next as Promise<T>;
+        return state.next as Promise<T>;
     }
 
     private start<T>(key: string, read: () => Promise<T>): Promise<T> {
-        const slot: ReadSlot = { current: read() };
-        this.slots.set(key, slot);
+        const state: ReadState = { current: read() };
+        this.readsByKey.set(key, state);
         const release = (): void => {
-            if (slot.next === undefined) {
-                this.slots.delete(key);
+            if (state.next === undefined) {
+                this.readsByKey.delete(key);
             }
         };
-        slot.current.then(release, release);
-        return slot.current as Promise<T>;
+        state.current.then(release, release);
+        return state.current as Promise<T>;
     }
 }
--- a/packages/backing/src/serviceHealth.ts
+++ b/packages/backing/src/serviceHealth.ts
@@ -4,56 +4,59 @@
     Down = "Down",
 }
 
-/** One call without an answer is an accident of its connection; several in a row, with none answered between, aren't. */
-const FailuresUntilDown = 3;
+/** A single call without an answer may be a fault of its connection; several consecutive ones mean that the service is down. */
+const ConsecutiveFailuresUntilDown = 3;
 const ShortestProbeMilliseconds = 250;
 const LongestProbeMilliseconds = 2_000;
 
 /**
  * Decides when the service counts as down.
  *
- * Load: an outage under full traffic. Harm prevented: each caller waits out a timeout of its own before it hears that
- * nothing was run, and every instance goes on sending calls at a service that struggles to come back. Limits: while it
- * is down calls fail at once and one probe goes out per interval, which doubles up to 2 s: with 400 instances that is
- * 200 reads a second, a tenth of the service's rate, and a return is noticed within that time.
+ * Without this, in an outage under full traffic, every caller would wait for a timeout before it learns that nothing
+ * was run, and every instance would keep sending calls to a service that is trying to recover. While the service is
+ * down, calls fail immediately and each instance sends one probe per interval. The interval doubles up to 2 s: with 400
+ * instances these are 200 reads a second, a tenth of the service's rate, and a recovery is noticed within that time.
  */
 export class ServiceHealth {
     private state = HealthState.Up;
-    private failures = 0;
+    private consecutiveFailures = 0;
     private probeMilliseconds = ShortestProbeMilliseconds;
 
     getState(): HealthState {
         return this.state;
     }
 
-    /** Notes that the service answered, be it with an error. Returns true when it was down until now. */
-    noteAnswer(): boolean {
+    /** Records that the service answered, even with an error. Returns true if it was down until now. */
+    recordAnswer(): boolean {
         const wasDown = this.state === HealthState.Down;
         this.state = HealthState.Up;
-        this.failures = 0;
+        this.consecutiveFailures = 0;
         this.probeMilliseconds = ShortestProbeMilliseconds;
         return wasDown;
     }
 
-    /** Notes a call without an answer. Returns true when the service counts as down from now on. */
-    noteSilence(): boolean {
-        this.failures++;
-        if (this.state === HealthState.Down || this.failures < FailuresUntilDown) {
+    /** Records a call without an answer. Returns true if the service counts as down from now on. */
+    recordMissingAnswer(): boolean {
+        this.consecutiveFailures++;
+        if (this.state === HealthState.Down || this.consecutiveFailures < ConsecutiveFailuresUntilDown) {
             return false;
         }
         this.state = HealthState.Down;
         return true;
     }
 
-    /** Milliseconds until the next probe, spread by `random` (0 to 1) so that instances don't probe in step. */
-    takeProbeDelay(random: number): number {
+    /**
+     * Returns the milliseconds until the next probe and doubles the interval. `random` (0 to 1) spreads the probes, so
+     * that the instances don't send them simultaneously.
+     */
+    advanceProbeDelay(random: number): number {
         const delay = this.probeMilliseconds * (0.75 + random / 2);
         this.probeMilliseconds = Math.min(LongestProbeMilliseconds, this.probeMilliseconds * 2);
         return delay;
     }
 
-    /** When it makes sense to come back, in milliseconds. */
-    getRetryAfter(): number {
+    /** Time after which a retry is useful. */
+    getRetryAfterMilliseconds(): number {
         return this.probeMilliseconds;
     }
 }
--- a/packages/backing/src/spool.ts
+++ b/packages/backing/src/spool.ts
@@ -4,19 +4,19 @@
 import * as spoolFormat from "./spoolFormat.js";
 
 export interface SpoolOptions {
-    /** Folder that the spool has to itself; made where it is absent. */
+    /** Folder that only this spool uses; created if absent. */
     readonly folder: string;
-    /** Most bytes on disk, the records' headers counted. */
+    /** Maximum size on disk, in bytes, including the headers of records. */
     readonly maximumBytes: number;
-    /** Size from which a new file is begun, in bytes. A file goes when all its records are acknowledged. */
+    /** Size at which a new file is started, in bytes. A file is deleted when all its records are acknowledged. */
     readonly segmentBytes?: number;
 }
 
 export enum AppendOutcomeKind {
     Appended = "Appended",
-    /** The size limit is reached: keep the record elsewhere, or come back when the spool has drained. */
+    /** The size limit is reached. The record must be kept elsewhere, or appended again when the spool has drained. */
     Full = "Full",
-    /** The disk failed; nothing was kept. */
+    /** The disk failed; nothing was stored. */
     Failed = "Failed",
 }
 
@@ -25,50 +25,50 @@
     | { readonly kind: AppendOutcomeKind.Full }
     | { readonly kind: AppendOutcomeKind.Failed; readonly text: string };
 
-/** What was found on disk at the start. */
+/** Result of reading the spool's files at startup. */
 export interface SpoolRecovery {
     readonly records: number;
-    /** Bytes of torn or damaged records, cut off. */
-    readonly cutBytes: number;
+    /** Bytes of incomplete or damaged records that were removed. */
+    readonly truncatedBytes: number;
 }
 
 interface Segment {
     readonly firstSequence: number;
-    /** Number of whole records. */
-    records: number;
-    /** Bytes up to the end of the last whole record. */
+    /** Number of complete records. */
+    recordCount: number;
+    /** Bytes up to the end of the last complete record. */
     bytes: number;
 }
 
 const SegmentsPerSpool = 8;
-const LargestSegmentBytes = 8 * 1_024 * 1_024;
+const MaximumSegmentBytes = 8 * 1_024 * 1_024;
 const FileSuffix = ".spool";
 
 /**
- * Records on the instance's small disk until the key-value service has them: results that await it in an outage, in
- * the order of their coming. A record that was cut off by the end of the process is found by its digest at the next
- * start and taken away, with nothing before it lost.
+ * Stores records on the instance's small disk, in order, until the key-value service has them: for example results that
+ * can't be written to the service during an outage. A record whose write was interrupted by the end of the process is
+ * detected by its digest at the next start and removed; the records before it are kept.
  *
- * Acknowledged records may come again after a restart, since only whole files are removed; whoever writes them to the
- * service recognises what it holds already. Nothing is synced to the device: data of a process that died is still in
- * the kernel, and an instance that is lost with its kernel is replaced with an empty disk anyway.
+ * Acknowledged records may be read again after a restart, since only whole files are deleted; the writer to the service
+ * recognises records that the service already has. Files aren't synced to the device: when the process dies, its data is
+ * still in the kernel, and an instance whose kernel fails is replaced by one with an empty disk anyway.
  */
 export class Spool implements AsyncDisposable {
-    private readonly oneAtATime = limit.default(1);
+    private readonly runExclusive = limit.default(1);
     private readonly segments: Segment[] = [];
     private file: fileSystem.FileHandle | undefined;
-    private acknowledged = 0;
-    /** Where no file is left, the sequence goes on from here, so that no number is used twice by this process. */
+    private acknowledgedSequence = 0;
+    /** Next sequence number if no file is left, so that this process never uses a number twice. */
     private nextSequence = 1;
     private readonly segmentBytes: number;
-    private recovery: SpoolRecovery = { records: 0, cutBytes: 0 };
+    private recovery: SpoolRecovery = { records: 0, truncatedBytes: 0 };
 
     private constructor(private readonly options: SpoolOptions) {
-        const bytes = Math.min(LargestSegmentBytes, Math.ceil(options.maximumBytes / SegmentsPerSpool));
+        const bytes = Math.min(MaximumSegmentBytes, Math.ceil(options.maximumBytes / SegmentsPerSpool));
         this.segmentBytes = options.segmentBytes ?? bytes;
     }
 
-    /** Opens the spool and cuts off what is torn. Throws where the folder can't be used: a mistake in the settings. */
+    /** Opens the spool and removes incomplete records. Throws if the folder can't be used, which is a configuration error. */
     static async open(options: SpoolOptions): Promise<Spool> {
         const spool = new Spool(options);
         await fileSystem.mkdir(options.folder, { recursive: true });
@@ -80,48 +80,54 @@
         return this.recovery;
     }
 
-    /** Bytes on disk. */
+    /** Size of all records on disk, in bytes. */
     getBytes(): number {
         return this.segments.reduce((sum, segment) => sum + segment.bytes, 0);
     }
 
     /** Number of records that are not acknowledged. */
     getPendingCount(): number {
-        return this.getNextSequence() - 1 - this.acknowledged;
+        return this.getNextSequence() - 1 - this.acknowledgedSequence;
     }
 
-    /** Keeps a record; calls run in the order in which they are made. */
+    /** Appends a record. Concurrent calls are executed in the order in which they were made. */
     async append(payload: Uint8Array): Promise<AppendOutcome> {
-        return this.oneAtATime(() => this.appendNow(payload));
+        return this.runExclusive(() => this.appendNow(payload));
     }
 
-    /** Yields the records that are not acknowledged and were there at the call, the oldest first. */
+    /** Yields the unacknowledged records that existed at the time of the call, the oldest first. */
     async *read(): AsyncIterable<spoolFormat.SpoolRecord> {
         const end = this.getNextSequence();
         for (const segment of [...this.segments]) {
-            if (getEnd(segment) <= this.acknowledged + 1) {
+            if (getEndSequence(segment) <= this.acknowledgedSequence + 1) {
                 continue;
             }
             for (const record of await this.readSegment(segment)) {
-                if (record.sequence > this.acknowledged && record.sequence < end) {
+                if (record.sequence > this.acknowledgedSequence && record.sequence < end) {
                     yield record;
                 }
             }
         }
     }
 
-    /** The records up to and with `sequence` are done; files that hold no others are removed. */
+    /** Marks the records up to and including `sequence` as done; deletes files that contain no others. */
     async acknowledge(sequence: number): Promise<void> {
-        await this.oneAtATime(async () => {
-            this.acknowledged = Math.min(this.getNextSequence() - 1, Math.max(this.acknowledged, sequence));
-            while (this.segments[0] !== undefined && getEnd(this.segments[0]) <= this.acknowledged + 1) {
+        await this.runExclusive(async () => {
+            this.acknowledgedSequence = Math.min(
+                this.getNextSequence() - 1,
+                Math.max(this.acknowledgedSequence, sequence),
+            );
+            while (
+                this.segments[0] !== undefined &&
+                getEndSequence(this.segments[0]) <= this.acknowledgedSequence + 1
+            ) {
                 await this.removeOldest(this.segments[0]);
             }
         });
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
-        await this.oneAtATime(() => this.closeFile());
+        await this.runExclusive(() => this.closeFile());
     }
 
     private async appendNow(payload: Uint8Array): Promise<AppendOutcome> {
@@ -131,12 +137,12 @@
         }
         try {
             const { segment, file } = await this.openSegment();
-            // Written at the end of the last whole record: what a failed write has left there is written over, and a
-            // rest of it that sticks out is cut off at the next start, since no record can begin in it.
+            // Writes after the last complete record and so overwrites what a failed write may have left there. If that
+            // was longer, its remainder is removed at the next start, since it contains no valid record.
             await writeFully(file, record, segment.bytes);
             segment.bytes += record.byteLength;
-            segment.records++;
-            return { kind: AppendOutcomeKind.Appended, sequence: getEnd(segment) - 1 };
+            segment.recordCount++;
+            return { kind: AppendOutcomeKind.Appended, sequence: getEndSequence(segment) - 1 };
         }
         catch (error) {
             return { kind: AppendOutcomeKind.Failed, text: String((error as Error).message) };
@@ -153,7 +159,7 @@
             this.file = await fileSystem.open(this.getPath(last), "r+");
             return { segment: last, file: this.file };
         }
-        const segment = { firstSequence: this.getNextSequence(), records: 0, bytes: 0 };
+        const segment = { firstSequence: this.getNextSequence(), recordCount: 0, bytes: 0 };
         this.file = await fileSystem.open(this.getPath(segment), "w");
         this.segments.push(segment);
         return { segment, file: this.file };
@@ -161,23 +167,27 @@
 
     private async recover(): Promise<void> {
         const names = (await fileSystem.readdir(this.options.folder)).filter(name => name.endsWith(FileSuffix)).sort();
-        let cutBytes = 0;
+        let truncatedBytes = 0;
         for (const name of names) {
-            const segment: Segment = { firstSequence: Number(name.slice(0, -FileSuffix.length)), records: 0, bytes: 0 };
+            const segment: Segment = {
+                firstSequence: Number(name.slice(0, -FileSuffix.length)),
+                recordCount: 0,
+                bytes: 0,
+            };
             const bytes = await fileSystem.readFile(this.getPath(segment));
             const { records, wholeBytes } = spoolFormat.decodeRecords(bytes, segment.firstSequence);
-            cutBytes += bytes.byteLength - wholeBytes;
-            segment.records = records.length;
+            truncatedBytes += bytes.byteLength - wholeBytes;
+            segment.recordCount = records.length;
             segment.bytes = wholeBytes;
-            await this.keepWhole(segment, bytes.byteLength);
+            await this.keepWholeRecords(segment, bytes.byteLength);
         }
-        this.acknowledged = (this.segments[0]?.firstSequence ?? 1) - 1;
-        const records = this.segments.reduce((sum, segment) => sum + segment.records, 0);
-        this.recovery = { records, cutBytes };
+        this.acknowledgedSequence = (this.segments[0]?.firstSequence ?? 1) - 1;
+        const records = this.segments.reduce((sum, segment) => sum + segment.recordCount, 0);
+        this.recovery = { records, truncatedBytes };
     }
 
-    private async keepWhole(segment: Segment, bytesOnDisk: number): Promise<void> {
-        if (segment.records === 0) {
+    private async keepWholeRecords(segment: Segment, bytesOnDisk: number): Promise<void> {
+        if (segment.recordCount === 0) {
             await fileSystem.rm(this.getPath(segment));
             return;
         }
@@ -198,12 +208,12 @@
         }
         await fileSystem.rm(this.getPath(segment), { force: true });
         this.segments.shift();
-        this.nextSequence = Math.max(this.nextSequence, getEnd(segment));
+        this.nextSequence = Math.max(this.nextSequence, getEndSequence(segment));
     }
 
     private getNextSequence(): number {
         const last = this.segments.at(-1);
-        return last === undefined ? this.nextSequence : getEnd(last);
+        return last === undefined ? this.nextSequence : getEndSequence(last);
     }
 
     private async closeFile(): Promise<void> {
@@ -216,9 +226,9 @@
     }
 }
 
-/** The sequence behind the segment's last record. */
-function getEnd(segment: Segment): number {
-    return segment.firstSequence + segment.records;
+/** The sequence number after the segment's last record. */
+function getEndSequence(segment: Segment): number {
+    return segment.firstSequence + segment.recordCount;
 }
 
 async function writeFully(file: fileSystem.FileHandle, bytes: Buffer, position: number): Promise<void> {
--- a/packages/backing/src/spoolFormat.ts
+++ b/packages/backing/src/spoolFormat.ts
@@ -1,24 +1,25 @@
 import * as crypto from "node:crypto";
 
 /**
- * A record on disk: length of the payload (4 bytes, little endian), sequence (8 bytes), digest of both and the payload
- * (16 bytes), payload. The sequence makes a record that is left over from an earlier use of the same place invalid.
+ * A record on disk: length of the payload (4 bytes, little endian), sequence number (8 bytes), digest of both and the
+ * payload (16 bytes), payload. The sequence number allows a record to be rejected that remains from an earlier use of the
+ * same file position.
  */
 export interface SpoolRecord {
-    /** Counts up by one from record to record. */
+    /** Increases by one from record to record. */
     readonly sequence: number;
     readonly payload: Uint8Array;
 }
 
 export interface DecodedRecords {
     readonly records: readonly SpoolRecord[];
-    /** Bytes up to the end of the last whole record; what follows is torn. */
+    /** Bytes up to the end of the last complete record; what follows is incomplete or damaged. */
     readonly wholeBytes: number;
 }
 
 const LengthBytes = 4;
 const SequenceBytes = 8;
-/** Half a SHA-256: what matters is a write that was cut off, not an adversary. */
+/** Half of a SHA-256, which is enough to detect incomplete writes; it isn't meant to withstand an attacker. */
 const DigestBytes = 16;
 export const RecordHeaderBytes = LengthBytes + SequenceBytes + DigestBytes;
 
@@ -31,7 +32,7 @@
     return bytes;
 }
 
-/** Reads records from `firstSequence` on, up to the first one that is not whole. */
+/** Reads records, the first with sequence number `firstSequence`, up to the first one that is incomplete or damaged. */
 export function decodeRecords(bytes: Buffer, firstSequence: number): DecodedRecords {
     const records: SpoolRecord[] = [];
     let offset = 0;
--- a/packages/backing/src/swapWithReadBack.ts
+++ b/packages/backing/src/swapWithReadBack.ts
@@ -5,20 +5,20 @@
 export interface ReadBackOptions {
     readonly service: services.KeyValueService;
     readonly clock: core.Clock;
-    /** Whether an entry holds this write, or grew out of one that did: look for the write's nonce in it. */
+    /** Whether an entry contains this write or derives from an entry that does; look for the write's nonce in it. */
     readonly isOwn: (entry: types.Entry) => boolean;
-    /** How often to read back and write again before the outcome is left open. */
+    /** Maximum number of attempts, each a write and a read-back, before the result is `ReplyLost`. */
     readonly attempts?: number;
 }
 
 const DefaultAttempts = 5;
-const FirstWaitMilliseconds = 20;
+const FirstRetryMilliseconds = 20;
 
 /**
- * Swaps, and where the reply was lost finds out what became of the write. An own write that took effect counts as
- * swapped, whether it is found at once or turns up late: a write that was only delayed makes the repeated one fail,
- * and the entry that won is then recognised as our own. Ends as `ReplyLost` only where the service can't be asked; the
- * write may then still take effect.
+ * Performs a compare-and-swap and, if the reply is lost, reads the entry to determine whether the write took effect. An
+ * own write that took effect counts as swapped, even if it took effect late: a delayed write makes its own repetition
+ * fail, and the current entry is then recognised as our own. The result is `ReplyLost` only if the read-backs settle
+ * nothing; the write may then still take effect.
  */
 export async function swapWithReadBack(
     request: types.SwapRequest,
@@ -33,18 +33,18 @@
         if (result.failure.kind !== types.KeyValueFailureKind.ReplyLost && lost === undefined) {
             return result;
         }
-        // Once a reply was lost, later failures that wrote nothing say nothing about the first write.
+        // After a lost reply, a later failure with nothing written doesn't show whether the first write took effect.
         lost ??= result.failure;
         const settled = await tryReadBack(request, options);
         if (settled !== undefined) {
             return { ok: true, value: settled };
         }
-        await options.clock.sleep(FirstWaitMilliseconds * 2 ** attempt);
+        await options.clock.sleep(FirstRetryMilliseconds * 2 ** attempt);
     }
     return { ok: false, failure: { ...lost, kind: types.KeyValueFailureKind.ReplyLost, text: lost?.text ?? "" } };
 }
 
-/** Returns undefined where nothing is settled: the read failed, or the old entry is still there. */
+/** Returns undefined if the outcome is still unknown: the read failed, or the entry is unchanged. */
 async function tryReadBack(
     request: types.SwapRequest,
     options: ReadBackOptions,
--- a/packages/backing/src/types.ts
+++ b/packages/backing/src/types.ts
@@ -1,6 +1,6 @@
-/** What the platform's services give and take. The adapters speak HTTP; tests use in-memory ones. */
+/** Data types of the platform's services, shared by the HTTP adapters and the in-memory stand-ins of tests. */
 
-/** Counts up with every write to the service; 0 stands for "the key is absent". */
+/** Increases with every write to the service; 0 means that the key is absent. */
 export type Revision = number;
 export type LeaseId = string;
 
@@ -11,7 +11,7 @@
     readonly revision: Revision;
 }
 
-/** What a call is for. Each purpose has its own share of the call budget, in this order of urgency. */
+/** Purpose of a call, in order of urgency. Each purpose has its own share of the call budget. */
 export enum CallPurpose {
     Ledger = "Ledger",
     Note = "Note",
@@ -24,11 +24,11 @@
 }
 
 export enum KeyValueFailureKind {
-    /** Nothing was written: the service refused or could not be reached before the call left. */
+    /** Nothing was written: the service refused the call, or could not be reached before the call was sent. */
     Unavailable = "Unavailable",
-    /** The reply was lost: the write may have taken effect. Read back to know. */
+    /** The reply was lost; the write may have taken effect. Reading the entry shows whether it did. */
     ReplyLost = "ReplyLost",
-    /** The service, or our own pacing, asks to come back later. Nothing was written. */
+    /** Nothing was written: the service or our own pacing requires that the call is retried later. */
     Throttled = "Throttled",
 }
 
@@ -36,32 +36,32 @@
     readonly kind: KeyValueFailureKind;
     readonly text: string;
     readonly retryAfterMilliseconds?: number;
-    /** True where the service itself refused the call as it stands: it is up, and the same call would fail again. */
+    /** Whether the service itself refused the call. It is up then, and the same call would fail again. */
     readonly isAnswer?: boolean;
 }
 
 export type KeyValueResult<T> =
     { readonly ok: true; readonly value: T } | { readonly ok: false; readonly failure: KeyValueFailure };
 
-/** What a compare-and-swap did. On a conflict the entry that won comes along, so that no second read is needed. */
+/** Result of a compare-and-swap. On a conflict it contains the current entry, so that no second read is needed. */
 export type SwapOutcome =
     | { readonly swapped: true; readonly revision: Revision }
     | { readonly swapped: false; readonly current: Entry | undefined };
 
 export interface SwapRequest {
     readonly key: string;
-    /** The revision that must still be there; 0 where the key must be absent. */
+    /** The revision that the entry must still have; 0 if the key must be absent. */
     readonly expectedRevision: Revision;
     /** The new value; undefined deletes the key. */
     readonly value: Uint8Array | undefined;
-    /** The entry vanishes when this lease ends. */
+    /** The entry is deleted when this lease ends. */
     readonly lease?: LeaseId;
     readonly purpose: CallPurpose;
 }
 
 export interface ListRequest {
     readonly prefix: string;
-    /** Only keys after this one, in byte order. */
+    /** Lists only keys after this one, in byte order. */
     readonly after?: string;
     readonly limit: number;
     readonly purpose: CallPurpose;
@@ -69,17 +69,17 @@
 
 export interface WatchRequest {
     readonly prefix: string;
-    /** Changes after this revision are wanted. */
+    /** Only changes after this revision are yielded. */
     readonly afterRevision: Revision;
     readonly signal: AbortSignal;
-    /** Awaited before each connection; the paced client counts them by it. */
+    /** Awaited before each connection, so that the paced client can count and delay connections. */
     readonly admit?: () => Promise<void>;
 }
 
 export enum WatchEventKind {
     Changed = "Changed",
     Removed = "Removed",
-    /** Changes were missed (compaction, reconnection): read the prefix again, then go on. */
+    /** Changes were missed (compaction, reconnection); the reader must list the prefix again. */
     Gap = "Gap",
 }
 
--- a/packages/backing/src/watchWithRecovery.ts
+++ b/packages/backing/src/watchWithRecovery.ts
@@ -10,50 +10,50 @@
     readonly signal: AbortSignal;
 }
 
-/** A change below a prefix; gaps have been filled already. */
+/** A change of an entry with the watched prefix. There are no gap events: missed changes are recovered. */
 export type RecoveredEvent =
     | { readonly kind: types.WatchEventKind.Changed; readonly entry: types.Entry }
     | { readonly kind: types.WatchEventKind.Removed; readonly key: string; readonly revision: types.Revision };
 
 const PageSize = 500;
-const FirstWaitMilliseconds = 100;
-const LongestWaitMilliseconds = 5_000;
+const FirstRetryMilliseconds = 100;
+const MaximumRetryMilliseconds = 5_000;
 
 /**
- * Yields every entry below a prefix as `Changed`, and then every change until `signal` is aborted. Where the service
- * lost track of changes the prefix is read again and the difference is yielded, removals included, so the reader's
- * view ends up right whatever was missed. An entry is never followed by an older one of the same key, except that one
- * removed before a re-read may show up once more and be removed again.
+ * Yields every entry with a prefix as `Changed`, and then every change until `signal` is aborted. If the service reports
+ * missed changes, lists the prefix again and yields the difference, including removals, so that the reader's view becomes
+ * correct whatever was missed. An entry is never followed by an older one of the same key, except that an entry removed
+ * before the prefix is listed again may be yielded once more and removed again.
  */
 export async function* watchWithRecovery(options: RecoveringWatchOptions): AsyncIterable<RecoveredEvent> {
-    const known = new Map<string, types.Revision>();
-    yield* applyList(known, await listAll(options));
+    const knownRevisions = new Map<string, types.Revision>();
+    yield* applyList(knownRevisions, await listAll(options));
     while (!options.signal.aborted) {
-        const afterRevision = getNewest(known.values());
+        const afterRevision = getNewestRevision(knownRevisions.values());
         const { prefix, signal } = options;
         for await (const event of options.service.watch({ prefix, afterRevision, signal })) {
             if (event.kind === types.WatchEventKind.Gap) {
-                yield* applyList(known, await listAll(options));
+                yield* applyList(knownRevisions, await listAll(options));
             }
-            else if (applyEvent(known, event)) {
+            else if (applyEvent(knownRevisions, event)) {
                 yield event;
             }
         }
-        // A service's watch goes on by itself; one that ended all the same is opened again, not at once.
-        await options.clock.sleep(FirstWaitMilliseconds, options.signal);
+        // A watch reconnects by itself. If it ends nevertheless, it is opened again after a wait.
+        await options.clock.sleep(FirstRetryMilliseconds, options.signal);
     }
 }
 
-/** Reads the prefix, however long the service is away; undefined once `signal` is aborted. */
+/** Lists the prefix, retrying until the service answers; returns undefined once `signal` is aborted. */
 async function listAll(options: RecoveringWatchOptions): Promise<readonly types.Entry[] | undefined> {
     const entries: types.Entry[] = [];
-    let wait = FirstWaitMilliseconds;
+    let wait = FirstRetryMilliseconds;
     while (!options.signal.aborted) {
         const { prefix, purpose } = options;
         const page = await options.service.list({ prefix, purpose, after: entries.at(-1)?.key, limit: PageSize });
         if (!page.ok) {
             await options.clock.sleep(Math.max(wait, page.failure.retryAfterMilliseconds ?? 0), options.signal);
-            wait = Math.min(wait * 2, LongestWaitMilliseconds);
+            wait = Math.min(wait * 2, MaximumRetryMilliseconds);
             continue;
         }
         entries.push(...page.value);
@@ -65,45 +65,45 @@
 }
 
 function* applyList(
-    known: Map<string, types.Revision>,
+    knownRevisions: Map<string, types.Revision>,
     entries: readonly types.Entry[] | undefined,
 ): Iterable<RecoveredEvent> {
     if (entries === undefined) {
         return;
     }
     const listed = new Set(entries.map(entry => entry.key));
-    const newest = getNewest(entries.map(entry => entry.revision));
-    for (const [key, revision] of [...known]) {
+    const newest = getNewestRevision(entries.map(entry => entry.revision));
+    for (const [key, revision] of [...knownRevisions]) {
         if (!listed.has(key)) {
-            known.delete(key);
+            knownRevisions.delete(key);
             yield { kind: types.WatchEventKind.Removed, key, revision: Math.max(revision, newest) };
         }
     }
     for (const entry of entries) {
-        if (entry.revision > (known.get(entry.key) ?? 0)) {
-            known.set(entry.key, entry.revision);
+        if (entry.revision > (knownRevisions.get(entry.key) ?? 0)) {
+            knownRevisions.set(entry.key, entry.revision);
             yield { kind: types.WatchEventKind.Changed, entry };
         }
     }
 }
 
-/** Returns false for a change that the reader has already seen. */
-function applyEvent(known: Map<string, types.Revision>, event: RecoveredEvent): boolean {
+/** Updates the known revisions; returns false for a change that the reader has already seen. */
+function applyEvent(knownRevisions: Map<string, types.Revision>, event: RecoveredEvent): boolean {
     if (event.kind === types.WatchEventKind.Changed) {
         const { key, revision } = event.entry;
-        const isNews = revision > (known.get(key) ?? 0);
-        if (isNews) {
-            known.set(key, revision);
+        const isNewer = revision > (knownRevisions.get(key) ?? 0);
+        if (isNewer) {
+            knownRevisions.set(key, revision);
         }
-        return isNews;
+        return isNewer;
     }
-    const revision = known.get(event.key);
-    const isNews = revision !== undefined && event.revision > revision;
-    return isNews && known.delete(event.key);
+    const revision = knownRevisions.get(event.key);
+    const isNewer = revision !== undefined && event.revision > revision;
+    return isNewer && knownRevisions.delete(event.key);
 }
 
-/** A prefix may hold more entries than a call may have arguments, so `Math.max` can't take them all. */
-function getNewest(revisions: Iterable<types.Revision>): types.Revision {
+/** `Math.max(...revisions)` is not possible, since a prefix may have more entries than a call may have arguments. */
+function getNewestRevision(revisions: Iterable<types.Revision>): types.Revision {
     let newest = 0;
     for (const revision of revisions) {
         newest = Math.max(newest, revision);
