--- a/packages/backing/src/callPacer.ts
+++ b/packages/backing/src/callPacer.ts
@@ -89,7 +89,7 @@
     private readonly guaranteedBuckets: Map<types.CallPurpose, TokenBucket>;
     private readonly totalBucket: TokenBucket;
     private callsPerSecond: number;
-    /** Multiplies the rate. Lowered when the service throttles us: the known fleet size lags, so our share may be too large. */
+    /** Factor of the rate, lowered when the service throttles us: the known fleet size lags, so the share may be too large. */
     private rateFactor = 1;
     private rateFactorUpdatedAt = 0;
     private pausedUntil = 0;
@@ -176,7 +176,7 @@
     }
 
     /**
-     * Limits all buckets to `phase` tokens (0 to 1) after an outage. With full buckets, all instances together would
+     * Limits each bucket to `phase` tokens (0 to 1) after an outage. With full buckets, all instances together would
      * send far more calls at once than the service's rate allows. The phase differs between instances and applies to the
      * guaranteed buckets, too: if all of them were emptied, they would all have a token again at the same instant.
      */
--- a/packages/backing/src/diskCache.ts
+++ b/packages/backing/src/diskCache.ts
@@ -22,7 +22,7 @@
     /** Bytes by file name, the least recently used first. */
     private readonly sizes = new Map<string, number>();
     private bytes = 0;
-    /** Runs one operation at a time: a read during a write of the same key would find no valid file and remove the entry. */
+    /** Runs one operation at a time: a read during a write of the same key would find no file and remove the entry. */
     private readonly runExclusive = limit.default(1);
     private nextTemporaryNumber = 1;
 
--- a/packages/backing/src/httpKeyValueService.ts
+++ b/packages/backing/src/httpKeyValueService.ts
@@ -21,7 +21,7 @@
 const DefaultWatchSilenceMilliseconds = 30_000;
 const DefaultWatchRetryMilliseconds = 100;
 const MaximumWatchRetryMilliseconds = 5_000;
-/** Errors that the gateway reports before it proposes a write; after any other server error the write may have taken effect. */
+/** Errors that the gateway reports before it proposes a write. After other server errors the write may take effect. */
 const RefusedBeforeWrite = /no leader|not capable|corrupt/;
 
 /**
--- a/packages/backing/src/leaseKeeper.ts
+++ b/packages/backing/src/leaseKeeper.ts
@@ -18,7 +18,7 @@
 
 /** Number of renewals within the duration of one lease. With 4, two lost calls in a row don't end the lease. */
 const KeepAlivesPerLease = 4;
-/** Fraction of the lease that isn't used, to allow for clock drift and for the time to stop work that depends on the lease. */
+/** Fraction of the lease that isn't used, to allow for clock drift and for the time to stop work under the lease. */
 const SafetyMarginFraction = 0.15;
 
 interface ActiveLease {
--- a/packages/backing/src/serviceHealth.ts
+++ b/packages/backing/src/serviceHealth.ts
@@ -4,7 +4,7 @@
     Down = "Down",
 }
 
-/** A single call without an answer may be a fault of its connection; several consecutive ones mean that the service is down. */
+/** A single call without an answer may be a fault of its connection; several consecutive ones are not. */
 const ConsecutiveFailuresUntilDown = 3;
 const ShortestProbeMilliseconds = 250;
 const LongestProbeMilliseconds = 2_000;
--- a/packages/backing/src/services.ts
+++ b/packages/backing/src/services.ts
@@ -27,7 +27,7 @@
     abstract tryRead(): Promise<readonly core.InstanceDescription[] | undefined>;
 }
 
-/** The platform's store of model weights. The whole fleet shares its rate, so a slot must be held while an upstream loads. */
+/** The store of model weights. The whole fleet shares its rate, so a slot must be held while an upstream loads. */
 export abstract class WeightStore {
     /** Returns the size of one version's weights, or undefined if the store doesn't know the version. */
     abstract tryGetBytes(model: core.ModelId, version: string): Promise<number | undefined>;
--- a/packages/backing/src/spool.ts
+++ b/packages/backing/src/spool.ts
@@ -68,7 +68,7 @@
         this.segmentBytes = options.segmentBytes ?? bytes;
     }
 
-    /** Opens the spool and removes incomplete records. Throws if the folder can't be used, which is a configuration error. */
+    /** Opens the spool and removes incomplete records. Throws if the folder can't be used (a configuration error). */
     static async open(options: SpoolOptions): Promise<Spool> {
         const spool = new Spool(options);
         await fileSystem.mkdir(options.folder, { recursive: true });
