--- a/packages/backing/src/callPacer.ts
+++ b/packages/backing/src/callPacer.ts
@@ -147,7 +147,7 @@
         return waiting.length === 0 ? undefined : Math.max(Math.min(...delays), this.pausedUntil - now, 0);
     }
 
-    /** Removes a call that was canceled; returns false if it was sent already. */
+    /** Removes a call from the queue; returns false if it was sent already. */
     remove(call: T): boolean {
         const queue = this.getQueue(call.purpose);
         const index = queue.indexOf(call);
--- a/packages/backing/src/diskCache.ts
+++ b/packages/backing/src/diskCache.ts
@@ -42,15 +42,15 @@
     }
 
     async tryGet(key: string): Promise<Uint8Array | undefined> {
-        return this.runExclusive(() => this.tryGetNow(key));
+        return this.runExclusive(() => this.tryReadEntry(key));
     }
 
     /** Stores a value, unless it is larger than the whole cache or the disk fails. */
     async put(key: string, value: Uint8Array): Promise<void> {
-        return this.runExclusive(() => this.putNow(key, value));
+        return this.runExclusive(() => this.writeEntry(key, value));
     }
 
-    private async tryGetNow(key: string): Promise<Uint8Array | undefined> {
+    private async tryReadEntry(key: string): Promise<Uint8Array | undefined> {
         const name = createFileName(key);
         const size = this.sizes.get(name);
         if (size === undefined) {
@@ -70,7 +70,7 @@
         return value;
     }
 
-    private async putNow(key: string, value: Uint8Array): Promise<void> {
+    private async writeEntry(key: string, value: Uint8Array): Promise<void> {
         const name = createFileName(key);
         const size = DigestBytes + value.byteLength;
         if (size > this.options.maximumBytes) {
--- a/packages/backing/src/pacedKeyValueService.ts
+++ b/packages/backing/src/pacedKeyValueService.ts
@@ -323,11 +323,11 @@
     private getShare(): CallBudget {
         const budget = this.options.budget ?? DefaultCallBudget;
         const fleetSize = Math.max(1, this.options.getFleetSize());
-        const ledgerPart = this.options.getLedgerPart?.();
-        const ledgerWrites = ledgerPart === undefined ? 0 : budget.writesPerSecond * LedgerWriteFraction;
+        const ledgerShardFraction = this.options.getLedgerPart?.();
+        const ledgerWrites = ledgerShardFraction === undefined ? 0 : budget.writesPerSecond * LedgerWriteFraction;
         const commonWrites = budget.writesPerSecond - ledgerWrites;
         return {
-            writesPerSecond: commonWrites / fleetSize + ledgerWrites * (ledgerPart ?? 0),
+            writesPerSecond: commonWrites / fleetSize + ledgerWrites * (ledgerShardFraction ?? 0),
             readsPerSecond: budget.readsPerSecond / fleetSize,
         };
     }
--- a/packages/backing/src/serviceHealth.ts
+++ b/packages/backing/src/serviceHealth.ts
@@ -6,8 +6,8 @@
 
 /** A single call without an answer may be a fault of its connection; several consecutive ones are not. */
 const ConsecutiveFailuresUntilDown = 3;
-const ShortestProbeMilliseconds = 250;
-const LongestProbeMilliseconds = 2_000;
+const MinimumProbeMilliseconds = 250;
+const MaximumProbeMilliseconds = 2_000;
 
 /**
  * Decides when the service counts as down.
@@ -20,7 +20,7 @@
 export class ServiceHealth {
     private state = HealthState.Up;
     private consecutiveFailures = 0;
-    private probeMilliseconds = ShortestProbeMilliseconds;
+    private probeIntervalMilliseconds = MinimumProbeMilliseconds;
 
     getState(): HealthState {
         return this.state;
@@ -31,7 +31,7 @@
         const wasDown = this.state === HealthState.Down;
         this.state = HealthState.Up;
         this.consecutiveFailures = 0;
-        this.probeMilliseconds = ShortestProbeMilliseconds;
+        this.probeIntervalMilliseconds = MinimumProbeMilliseconds;
         return wasDown;
     }
 
@@ -50,13 +50,13 @@
      * that the instances don't send them simultaneously.
      */
     advanceProbeDelay(random: number): number {
-        const delay = this.probeMilliseconds * (0.75 + random / 2);
-        this.probeMilliseconds = Math.min(LongestProbeMilliseconds, this.probeMilliseconds * 2);
+        const delay = this.probeIntervalMilliseconds * (0.75 + random / 2);
+        this.probeIntervalMilliseconds = Math.min(MaximumProbeMilliseconds, this.probeIntervalMilliseconds * 2);
         return delay;
     }
 
     /** Time after which a retry is useful. */
     getRetryAfterMilliseconds(): number {
-        return this.probeMilliseconds;
+        return this.probeIntervalMilliseconds;
     }
 }
--- a/packages/backing/src/spool.ts
+++ b/packages/backing/src/spool.ts
@@ -92,7 +92,7 @@
 
     /** Appends a record. Concurrent calls are executed in the order in which they were made. */
     async append(payload: Uint8Array): Promise<AppendOutcome> {
-        return this.runExclusive(() => this.appendNow(payload));
+        return this.runExclusive(() => this.appendRecord(payload));
     }
 
     /** Yields the unacknowledged records that existed at the time of the call, the oldest first. */
@@ -130,7 +130,7 @@
         await this.runExclusive(() => this.closeFile());
     }
 
-    private async appendNow(payload: Uint8Array): Promise<AppendOutcome> {
+    private async appendRecord(payload: Uint8Array): Promise<AppendOutcome> {
         const record = spoolFormat.encodeRecord({ sequence: this.getNextSequence(), payload });
         if (this.getBytes() + record.byteLength > this.options.maximumBytes) {
             return { kind: AppendOutcomeKind.Full };
