--- a/packages/standins/src/instanceListStandin.ts
+++ b/packages/standins/src/instanceListStandin.ts
@@ -3,7 +3,7 @@
 
 /** Faults of the instance list. */
 export interface InstanceListFaults extends httpServer.ConnectionFaults {
-    /** How long a change stays unseen. */
+    /** Delay until a change becomes visible. */
     lagMilliseconds: number;
 }
 
@@ -17,13 +17,13 @@
     readonly remove: (id: core.InstanceId) => void;
 }
 
-/** Starts a stand-in of the instance list, which shows each change only after its lag. */
+/** Starts a stand-in for the instance list, in which each change becomes visible only after a delay. */
 export async function createInstanceListStandin(options: InstanceListOptions = {}): Promise<InstanceListStandin> {
     const clock = options.clock ?? new core.SystemClock();
     const faults = { ...httpServer.createConnectionFaults(), lagMilliseconds: options.lagMilliseconds ?? 0 };
-    const list = new LaggingList(clock, faults, options.instances ?? []);
+    const list = new DelayedInstanceList(clock, faults, options.instances ?? []);
     const server = new httpServer.StandinServer();
-    httpServer.addFaults({ server, faults, clock });
+    httpServer.addFaultInjection({ server, faults, clock });
     server.app.get("/instances", async () => ({ instances: list.read() }));
     server.app.put<{ Params: { id: string } }>("/instances/:id", async request => {
         list.put({ ...(request.body as core.InstanceDescription), id: request.params.id });
@@ -42,28 +42,28 @@
     };
 }
 
-interface Version {
+interface ListSnapshot {
     readonly at: core.MonotonicMilliseconds;
     readonly instances: ReadonlyMap<core.InstanceId, core.InstanceDescription>;
 }
 
-class LaggingList {
-    /** Oldest first; the first one is always old enough to be seen. */
-    private versions: Version[];
+class DelayedInstanceList {
+    /** Oldest first; the first one is always old enough to be visible. */
+    private snapshots: ListSnapshot[];
 
     constructor(
         private readonly clock: core.Clock,
         private readonly faults: InstanceListFaults,
         instances: readonly core.InstanceDescription[],
     ) {
-        this.versions = [{ at: -Infinity, instances: new Map(instances.map(instance => [instance.id, instance])) }];
+        this.snapshots = [{ at: -Infinity, instances: new Map(instances.map(instance => [instance.id, instance])) }];
     }
 
     read(): readonly core.InstanceDescription[] {
-        const seenUntil = this.clock.now() - this.faults.lagMilliseconds;
-        const seen = this.versions.filter(version => version.at <= seenUntil);
-        this.versions = this.versions.slice(Math.max(0, seen.length - 1));
-        return [...(this.versions[0]?.instances.values() ?? [])];
+        const visibleUntil = this.clock.now() - this.faults.lagMilliseconds;
+        const visible = this.snapshots.filter(snapshot => snapshot.at <= visibleUntil);
+        this.snapshots = this.snapshots.slice(Math.max(0, visible.length - 1));
+        return [...(this.snapshots[0]?.instances.values() ?? [])];
     }
 
     put(instance: core.InstanceDescription): void {
@@ -75,8 +75,8 @@
     }
 
     private change(edit: (instances: Map<core.InstanceId, core.InstanceDescription>) => void): void {
-        const instances = new Map(this.versions.at(-1)?.instances);
+        const instances = new Map(this.snapshots.at(-1)?.instances);
         edit(instances);
-        this.versions.push({ at: this.clock.now(), instances });
+        this.snapshots.push({ at: this.clock.now(), instances });
     }
 }
--- a/packages/standins/src/memoryMembership.ts
+++ b/packages/standins/src/memoryMembership.ts
@@ -1,7 +1,10 @@
 import * as core from "@boragedale/core";
 import * as protocol from "@boragedale/protocol";
 
-/** A membership that a test sets by hand. Each duty is held by the live instance that sorts first after its hash. */
+/**
+ * A membership that a test sets explicitly. An assignment's hash, modulo the number of live instances, selects its
+ * holder.
+ */
 export class MemoryMembership extends protocol.Membership {
     readonly gone = new Set<core.InstanceId>();
     private readonly listeners = new Set<() => void>();
@@ -28,13 +31,13 @@
         return this.live;
     }
 
-    override tryGetHolder(duty: string): core.InstanceId | undefined {
-        const hash = [...duty].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0)) >>> 0, 7);
+    override tryGetHolder(assignment: string): core.InstanceId | undefined {
+        const hash = [...assignment].reduce((sum, letter) => (sum * 31 + letter.charCodeAt(0)) >>> 0, 7);
         return this.live[hash % Math.max(1, this.live.length)]?.id;
     }
 
-    override tryGetHolderIn(dataCentre: core.DataCentre, duty: string): core.InstanceId | undefined {
-        return this.tryGetHolder(duty);
+    override tryGetHolderIn(dataCentre: core.DataCentre, assignment: string): core.InstanceId | undefined {
+        return this.tryGetHolder(assignment);
     }
 
     override isGone(instance: core.InstanceId): boolean {
--- a/packages/standins/src/serviceStandin.ts
+++ b/packages/standins/src/serviceStandin.ts
@@ -4,15 +4,15 @@
 
 /** Faults of a plain service. */
 export interface ServiceFaults extends httpServer.ConnectionFaults {
-    /** This many of the next requests end with a broken connection before they run. */
+    /** Number of upcoming requests whose connection breaks before they run. */
     deathsBeforeRun: number;
-    /** This many of the next requests run, and then end with a broken connection. */
+    /** Number of upcoming requests that run and whose connection then breaks. */
     deathsAfterRun: number;
-    /** Time that a run takes. */
+    /** Duration of a run. */
     runMilliseconds: number;
-    /** Whether a key that ran is answered again without running. */
+    /** Whether a request whose idempotency key has already run gets the stored response instead of another run. */
     deduplicates: boolean;
-    /** When set by `PUT /faults`, open connections go silent at once; new ones work. */
+    /** When set by `PUT /faults`, the connections that are open at that moment go silent; new ones work. */
     silencesOpenConnections: boolean;
 }
 
@@ -23,13 +23,13 @@
 }
 
 export interface ServiceStandin extends httpServer.Standin<ServiceFaults> {
-    /** Runs by idempotency key; calls without one are counted under the empty text. */
+    /** Number of runs by idempotency key; requests without a key are counted under the empty string. */
     readonly runs: ReadonlyMap<string, number>;
     readonly silenceConnections: () => void;
     readonly breakConnections: () => void;
 }
 
-/** Starts a stand-in of a plain service, which counts every run. */
+/** Starts a stand-in for a plain service, which counts its runs. */
 export async function createServiceStandin(options: ServiceStandinOptions = {}): Promise<ServiceStandin> {
     const clock = options.clock ?? new core.SystemClock();
     const faults: ServiceFaults = {
@@ -47,7 +47,7 @@
             server.silenceConnections();
         }
     };
-    httpServer.addFaults({ server, faults, clock, onChange });
+    httpServer.addFaultInjection({ server, faults, clock, onChange });
     addRoutes(server.app, service, faults);
     return {
         url: await server.listen(options.port),
