--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,4 +1,4 @@
-/** Scenarios over `decisions`, and the deployed sharing of slots and membership, in virtual time (development). */
+/** Simulations in virtual time, for development: scenarios for `decisions`, slot sharing, membership and quotas. */
 export * from "./engine.js";
 export * from "./measures.js";
 export * from "./quantiles.js";
--- a/packages/bench/src/membership/plainCodec.ts
+++ b/packages/bench/src/membership/plainCodec.ts
@@ -2,7 +2,7 @@
 
 export const UpstreamPrefix = "upstreams/";
 
-/** Knows keys only: who knows of a change is what counts, not what it says. */
+/** Decodes keys only: the simulation measures when members learn of a change, and doesn't need its content. */
 export class PlainCodec extends gateway.RegistryCodec {
     override readonly configurationKey = "configuration";
     override readonly upstreamPrefix = UpstreamPrefix;
--- a/packages/bench/src/slots/engineQueue.ts
+++ b/packages/bench/src/slots/engineQueue.ts
@@ -1,18 +1,18 @@
 import type * as simulation from "../simulation.js";
 
-/** Time from the start of a request to its first event. */
+/** Time from the start of a request on the engine to its first event. */
 const FirstEventMilliseconds = 12;
 
-interface Waiting {
+interface WaitingStream {
     readonly milliseconds: number;
-    readonly onFirst: () => void;
+    readonly onFirstEvent: () => void;
     readonly onEnd: () => void;
 }
 
-/** An engine as far as its places matter: admits in order of arrival, so many at a time. */
+/** A simulated engine reduced to its slots: runs up to `slots` requests concurrently, in order of arrival. */
 export class EngineQueue {
     private running = 0;
-    private readonly waiting: Waiting[] = [];
+    private readonly waiting: WaitingStream[] = [];
 
     constructor(
         private readonly time: simulation.Simulation,
@@ -20,7 +20,7 @@
     ) {}
 
     add(milliseconds: number, onFirst: () => void, onEnd: () => void): void {
-        this.waiting.push({ milliseconds, onFirst, onEnd });
+        this.waiting.push({ milliseconds, onFirstEvent: onFirst, onEnd });
         this.startWaiting();
     }
 
@@ -31,7 +31,7 @@
                 return;
             }
             this.running++;
-            this.time.schedule(FirstEventMilliseconds, next.onFirst);
+            this.time.schedule(FirstEventMilliseconds, next.onFirstEvent);
             this.time.schedule(next.milliseconds, () => {
                 this.running--;
                 next.onEnd();
