--- a/packages/cli/bin/boragedale.js
+++ b/packages/cli/bin/boragedale.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// Stands in the repository so that the package manager can link it before the sources are built.
+// Isn't a build result, so that the package manager can link it before the sources are built.
 await import("../dist/src/main.js");
--- a/packages/cli/src/client.ts
+++ b/packages/cli/src/client.ts
@@ -1,15 +1,15 @@
 import * as undici from "undici";
 import * as core from "@boragedale/core";
 
-/** An answer's status and JSON, or why there was none. */
+/** The status and parsed JSON body of a response, or the reason for the failure. `isReached`: whether a response arrived. */
 export type ClientResult<T> =
     | { readonly ok: true; readonly status: number; readonly body: T }
     | { readonly ok: false; readonly isReached: boolean; readonly status: number; readonly text: string };
 
-const AnswerTimeoutMilliseconds = 10_000;
+const ResponseTimeoutMilliseconds = 10_000;
 
-/** One HTTP face with its token. */
-export class FaceClient {
+/** HTTP client of one endpoint of an instance; sends the bearer token with each request. */
+export class EndpointClient {
     constructor(
         readonly baseUrl: string,
         private readonly token: string,
@@ -23,7 +23,7 @@
         return this.send<T>("POST", path, JSON.stringify(body), { "content-type": "application/json", ...headers });
     }
 
-    /** Streams a form with one file. */
+    /** Uploads one file as a multipart form; the file is streamed. */
     async upload<T>(path: string, file: Blob, name: string): Promise<ClientResult<T>> {
         const form = new undici.FormData();
         form.append("purpose", "batch");
@@ -31,7 +31,7 @@
         return this.send<T>("POST", path, form);
     }
 
-    /** The body piece by piece, for files that don't fit into memory. */
+    /** Returns the response body as a stream, for files that don't fit into memory. */
     async download(path: string): Promise<ClientResult<AsyncIterable<Uint8Array>>> {
         try {
             const response = await undici.fetch(this.baseUrl + path, { headers: this.createHeaders({}) });
@@ -41,7 +41,7 @@
             return { ok: true, status: response.status, body: response.body as AsyncIterable<Uint8Array> };
         }
         catch (error) {
-            return this.createUnreachable(error);
+            return this.createUnreachableResult(error);
         }
     }
 
@@ -52,7 +52,9 @@
         headers: Record<string, string> = {},
     ): Promise<ClientResult<T>> {
         try {
-            const signal = AbortSignal.timeout(AnswerTimeoutMilliseconds * (body instanceof undici.FormData ? 60 : 1));
+            const signal = AbortSignal.timeout(
+                ResponseTimeoutMilliseconds * (body instanceof undici.FormData ? 60 : 1),
+            );
             const response = await undici.fetch(this.baseUrl + path, {
                 method,
                 body,
@@ -60,10 +62,10 @@
                 signal,
             });
             const text = await response.text();
-            return parseAnswer<T>(response.status, text);
+            return parseResponse<T>(response.status, text);
         }
         catch (error) {
-            return this.createUnreachable(error);
+            return this.createUnreachableResult(error);
         }
     }
 
@@ -71,7 +73,7 @@
         return { ...headers, authorization: `Bearer ${this.token}` };
     }
 
-    private createUnreachable<T>(error: unknown): ClientResult<T> {
+    private createUnreachableResult<T>(error: unknown): ClientResult<T> {
         const cause = error instanceof Error && error.cause instanceof Error ? error.cause : error;
         const reason = cause instanceof Error ? cause.message : String(cause);
         const text = core.messages.formatMessage(core.messages.CommandUnreachable, this.baseUrl, reason);
@@ -79,7 +81,7 @@
     }
 }
 
-function parseAnswer<T>(status: number, text: string): ClientResult<T> {
+function parseResponse<T>(status: number, text: string): ClientResult<T> {
     try {
         const body = JSON.parse(text) as T;
         return status < 400 ? { ok: true, status, body } : { ok: false, isReached: true, status, text };
@@ -89,7 +91,7 @@
     }
 }
 
-/** The message within an error body, or the body itself. */
+/** Returns the message of an error body, or the whole body if it isn't an error object. */
 export function getErrorText(text: string): string {
     try {
         const body = JSON.parse(text) as { readonly error?: { readonly message?: string } };
--- a/packages/cli/src/commandSettings.ts
+++ b/packages/cli/src/commandSettings.ts
@@ -2,7 +2,7 @@
 import * as core from "@boragedale/core";
 import * as entry from "@boragedale/entry";
 
-/** A flag that the reading commands share; each has an environment variable of the same name. */
+/** A flag that several commands share. Each flag has a corresponding environment variable. */
 export interface CommandSettingDefinition {
     readonly flag: string;
     readonly unit: string;
@@ -11,18 +11,24 @@
     readonly schema: zod.ZodType<string>;
 }
 
-const url = zod.url({ protocol: /^https?$/ });
-const token = zod.string().min(1);
+const urlSchema = zod.url({ protocol: /^https?$/ });
+const tokenSchema = zod.string().min(1);
 
 export const OperatorSettings: readonly CommandSettingDefinition[] = [
     {
         flag: "operator-url",
         unit: "URL",
         default: "http://127.0.0.1:8081",
-        meaning: "operator face of any instance",
-        schema: url,
+        meaning: "operator endpoint of any instance",
+        schema: urlSchema,
+    },
+    {
+        flag: "operator-token",
+        unit: "text",
+        default: undefined,
+        meaning: "bearer token of operators",
+        schema: tokenSchema,
     },
-    { flag: "operator-token", unit: "text", default: undefined, meaning: "bearer token of operators", schema: token },
 ];
 
 export const CallerSettings: readonly CommandSettingDefinition[] = [
@@ -30,13 +36,22 @@
         flag: "caller-url",
         unit: "URL",
         default: "http://127.0.0.1:8080",
-        meaning: "caller face of any instance",
-        schema: url,
+        meaning: "caller endpoint of any instance",
+        schema: urlSchema,
+    },
+    {
+        flag: "caller-token",
+        unit: "text",
+        default: undefined,
+        meaning: "bearer token of the caller",
+        schema: tokenSchema,
     },
-    { flag: "caller-token", unit: "text", default: undefined, meaning: "bearer token of the caller", schema: token },
 ];
 
-/** Values by flag, or every finding at once. */
+/**
+ * Reads and validates the settings. Flags override environment variables, which override defaults. All findings are reported
+ * at once.
+ */
 export function readCommandSettings(
     definitions: readonly CommandSettingDefinition[],
     flags: Readonly<Record<string, unknown>>,
@@ -50,12 +65,12 @@
         const place: core.Place = isFlag
             ? { kind: core.PlaceKind.Flag, flag: definition.flag }
             : { kind: core.PlaceKind.Variable, variable };
-        const given = flags[definition.flag] ?? variables[variable] ?? definition.default;
-        if (given === undefined) {
+        const rawValue = flags[definition.flag] ?? variables[variable] ?? definition.default;
+        if (rawValue === undefined) {
             findings.push(core.createFinding(core.messages.SettingMissing, place, definition.meaning));
             continue;
         }
-        const parsed = definition.schema.safeParse(String(given));
+        const parsed = definition.schema.safeParse(String(rawValue));
         if (!parsed.success) {
             const reason = parsed.error.issues.map(issue => issue.message).join("; ");
             findings.push(core.createFinding(core.messages.SettingInvalid, place, "value", reason));
--- a/packages/cli/src/entryCommand.ts
+++ b/packages/cli/src/entryCommand.ts
@@ -3,7 +3,7 @@
 import * as exitCodes from "./exitCodes.js";
 import * as output from "./output.js";
 
-/** `entry`: the daemon. Returns when a stop signal came and the last request in progress has ended. */
+/** `entry`: runs an entry instance. Returns after a stop signal, when the last request in progress has ended. */
 export async function runEntry(flags: Readonly<Record<string, unknown>>): Promise<exitCodes.ExitCode> {
     const settings = entry.readEntrySettings(flags, process.env);
     if (!settings.ok) {
@@ -11,7 +11,7 @@
         return exitCodes.ExitCode.Usage;
     }
     await using instance = await entry.startInstance(settings.value);
-    // One line of JSON tells whoever started the process which ports it has, also where 0 was asked for.
+    // Prints one line of JSON with the actual ports, so that the parent process knows them when port 0 was requested.
     process.stdout.write(JSON.stringify(instance.description) + "\n");
     const stop = (): void => instance.drain();
     process.on("SIGTERM", stop);
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -1,14 +1,14 @@
-/** Exit codes of every command; README.md lists them for operators. */
+/** Exit codes of all commands; README.md documents them for operators. */
 export enum ExitCode {
     Success = 0,
-    /** Findings in the input, or the instance refused. */
+    /** The input has errors, the instance rejected the request, or `explain` found no log line. */
     Failure = 1,
-    /** The command line itself is wrong. */
+    /** The command line or its settings are invalid, or a file named there can't be read. */
     Usage = 2,
-    /** Another operator published first. */
+    /** `publish`: the note in force isn't the one that the new note replaces. */
     Conflict = 3,
-    /** No instance answered. */
+    /** No instance could be reached, or publishing is unavailable. */
     Unreachable = 4,
-    /** `status`: the note is not in force on every live instance, or an upstream has not reached its state. */
+    /** `status`: the note is not in force on every live instance, or an upstream has not reached its desired state. */
     NotReached = 5,
 }
--- a/packages/cli/src/fleetView.ts
+++ b/packages/cli/src/fleetView.ts
@@ -4,11 +4,11 @@
 import * as telemetry from "@boragedale/telemetry";
 import * as client from "./client.js";
 
-/** The whole fleet as far as it answered. */
+/** State of the fleet, as reported by the instances that answered. */
 export interface FleetView {
-    /** Highest generation that any instance has. */
+    /** Highest generation that any instance reports. */
     readonly generation: core.Generation;
-    /** True only when every live instance answered with that generation. */
+    /** True only if every live instance reports that generation. */
     readonly isInForce: boolean;
     readonly instances: readonly InstanceView[];
     readonly upstreams: readonly release.UpstreamProgress[];
@@ -19,34 +19,34 @@
     readonly dataCentre: core.DataCentre;
     readonly generation: core.Generation | undefined;
     readonly isInForce: boolean;
-    /** Why the instance is not counted as having the note, or what else is wrong with it. */
+    /** Why the instance couldn't be queried, isn't ready or is leaving; else empty. */
     readonly remark: string;
 }
 
-/** Asks one instance for the others, then every one of them. Undefined where the first did not answer. */
+/** Gets the list of instances from one instance, then queries each of them. Fails if the first instance doesn't answer. */
 export async function readFleet(operatorUrl: string, token: string): Promise<client.ClientResult<FleetView>> {
-    const first = await new client.FaceClient(operatorUrl, token).get<entry.InstanceStatus>("/operator/status");
+    const first = await new client.EndpointClient(operatorUrl, token).get<entry.InstanceStatus>("/operator/status");
     if (!first.ok) {
         return first;
     }
     const statuses = await readStatuses(first.body, token);
-    return { ok: true, status: 200, body: createView(first.body, statuses) };
+    return { ok: true, status: 200, body: createFleetView(first.body, statuses) };
 }
 
-/** The time lines of all live instances, merged in causal order. */
+/** Reads the time lines of all live instances and merges them in causal order. Instances that don't answer are left out. */
 export async function readTimeLine(
     operatorUrl: string,
     token: string,
     query: string,
 ): Promise<client.ClientResult<readonly telemetry.TimeLineEvent[]>> {
-    const first = await new client.FaceClient(operatorUrl, token).get<entry.InstanceStatus>("/operator/status");
+    const first = await new client.EndpointClient(operatorUrl, token).get<entry.InstanceStatus>("/operator/status");
     if (!first.ok) {
         return first;
     }
     const lines = await Promise.all(
         first.body.instances.map(async instance => {
-            const face = new client.FaceClient(instance.operatorUrl, token);
-            const answer = await face.get<{ events: telemetry.TimeLineEvent[] }>(`/operator/timeline${query}`);
+            const endpoint = new client.EndpointClient(instance.operatorUrl, token);
+            const answer = await endpoint.get<{ events: telemetry.TimeLineEvent[] }>(`/operator/timeline${query}`);
             return answer.ok ? answer.body.events : [];
         }),
     );
@@ -58,14 +58,14 @@
 async function readStatuses(first: entry.InstanceStatus, token: string): Promise<StatusById> {
     const answers = await Promise.all(
         first.instances.map(async instance => {
-            const face = new client.FaceClient(instance.operatorUrl, token);
-            return [instance.id, await face.get<entry.InstanceStatus>("/operator/status")] as const;
+            const endpoint = new client.EndpointClient(instance.operatorUrl, token);
+            return [instance.id, await endpoint.get<entry.InstanceStatus>("/operator/status")] as const;
         }),
     );
     return new Map(answers);
 }
 
-function createView(first: entry.InstanceStatus, statuses: StatusById): FleetView {
+function createFleetView(first: entry.InstanceStatus, statuses: StatusById): FleetView {
     const answered = [...statuses.values()].filter(status => status.ok).map(status => status.body);
     const generation = Math.max(first.generation, ...answered.map(status => status.generation));
     const instances = first.instances.map(instance => createInstanceView(instance, statuses, generation));
@@ -93,7 +93,7 @@
     return { ...base, generation: status.body.generation, isInForce, remark };
 }
 
-/** Two homes may report one upstream while its duty moves: the newer report counts. */
+/** While an upstream moves to another coordinator, both may report its progress; the newer report is used. */
 function selectNewestProgress(all: readonly release.UpstreamProgress[]): readonly release.UpstreamProgress[] {
     const newest = new Map<core.UpstreamId, release.UpstreamProgress>();
     for (const progress of all) {
--- a/packages/cli/src/jobCommands.ts
+++ b/packages/cli/src/jobCommands.ts
@@ -27,18 +27,18 @@
     readonly request_counts: { readonly total: number; readonly completed: number; readonly failed: number };
 }
 
-/** `jobs submit FILE` */
+/** `jobs submit FILE`: uploads the file and creates a batch job from it. */
 export async function submit(
     context: CallerContext,
     file: string,
     options: SubmitOptions,
 ): Promise<exitCodes.ExitCode> {
-    const face = new client.FaceClient(context.url, context.token);
+    const endpoint = new client.EndpointClient(context.url, context.token);
     const blob = await tryOpenBlob(file);
     if (blob === undefined) {
         return exitCodes.ExitCode.Usage;
     }
-    const uploaded = await face.upload<{ readonly id: string }>("/v1/files", blob, path.basename(file));
+    const uploaded = await endpoint.upload<{ readonly id: string }>("/v1/files", blob, path.basename(file));
     if (!uploaded.ok) {
         return operatorCommands.reportFailure(uploaded);
     }
@@ -48,13 +48,13 @@
         endpoint: options.endpoint,
         completion_window: options.window,
     };
-    return printBatch(context, await face.post<Batch>("/v1/batches", body, headers));
+    return printBatch(context, await endpoint.post<Batch>("/v1/batches", body, headers));
 }
 
-/** `jobs list` */
+/** `jobs list`: prints up to 100 jobs. */
 export async function list(context: CallerContext): Promise<exitCodes.ExitCode> {
-    const face = new client.FaceClient(context.url, context.token);
-    const answer = await face.get<{ readonly data: readonly Batch[] }>("/v1/batches?limit=100");
+    const endpoint = new client.EndpointClient(context.url, context.token);
+    const answer = await endpoint.get<{ readonly data: readonly Batch[] }>("/v1/batches?limit=100");
     if (!answer.ok) {
         return operatorCommands.reportFailure(answer);
     }
@@ -62,23 +62,23 @@
     return exitCodes.ExitCode.Success;
 }
 
-/** `jobs show ID` */
+/** `jobs show ID`: prints one job. */
 export async function show(context: CallerContext, id: string): Promise<exitCodes.ExitCode> {
-    const face = new client.FaceClient(context.url, context.token);
-    return printBatch(context, await face.get<Batch>(`/v1/batches/${encodeURIComponent(id)}`));
+    const endpoint = new client.EndpointClient(context.url, context.token);
+    return printBatch(context, await endpoint.get<Batch>(`/v1/batches/${encodeURIComponent(id)}`));
 }
 
-/** `jobs cancel ID` */
+/** `jobs cancel ID`: cancels a job and prints it. */
 export async function cancel(context: CallerContext, id: string): Promise<exitCodes.ExitCode> {
-    const face = new client.FaceClient(context.url, context.token);
-    return printBatch(context, await face.post<Batch>(`/v1/batches/${encodeURIComponent(id)}/cancel`, {}));
+    const endpoint = new client.EndpointClient(context.url, context.token);
+    return printBatch(context, await endpoint.post<Batch>(`/v1/batches/${encodeURIComponent(id)}/cancel`, {}));
 }
 
-/** `jobs results ID`: the output file, or with `isErrors` the error file, to standard output. */
-export async function results(context: CallerContext, id: string, isErrors: boolean): Promise<exitCodes.ExitCode> {
-    const face = new client.FaceClient(context.url, context.token);
-    const file = `${id}-${isErrors ? "errors" : "output"}`;
-    const answer = await face.download(`/v1/files/${encodeURIComponent(file)}/content`);
+/** `jobs results ID`: writes the output file, or with `isErrorFile` the error file, to standard output. */
+export async function results(context: CallerContext, id: string, isErrorFile: boolean): Promise<exitCodes.ExitCode> {
+    const endpoint = new client.EndpointClient(context.url, context.token);
+    const file = `${id}-${isErrorFile ? "errors" : "output"}`;
+    const answer = await endpoint.download(`/v1/files/${encodeURIComponent(file)}/content`);
     if (!answer.ok) {
         return operatorCommands.reportFailure(answer);
     }
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 import * as program from "./program.js";
 
-// A closed pipe (`boragedale timeline | head`) is no error of ours.
+// Exits with success when the reader closes the pipe, as in `boragedale timeline | head`.
 process.stdout.on("error", () => process.exit(0));
 process.exitCode = await program.run(process.argv);
--- a/packages/cli/src/operatorCommands.ts
+++ b/packages/cli/src/operatorCommands.ts
@@ -7,14 +7,14 @@
 import * as fleetView from "./fleetView.js";
 import * as output from "./output.js";
 
-/** Where the operator face is, and how to print. */
+/** Address and token of the operator endpoint, and the output format. */
 export interface OperatorContext {
     readonly url: string;
     readonly token: string;
     readonly isJson: boolean;
 }
 
-/** `publish FILE --replaces GENERATION` */
+/** `publish FILE --replaces GENERATION`: publishes a release note that replaces the given generation. */
 export async function publish(
     context: OperatorContext,
     file: string,
@@ -25,24 +25,24 @@
     if (source === undefined) {
         return exitCodes.ExitCode.Usage;
     }
-    const face = new client.FaceClient(context.url, context.token);
+    const endpoint = new client.EndpointClient(context.url, context.token);
     const body = { source, file, replaces, author: author ?? os.userInfo().username };
-    const answer = await face.post<release.PublishOutcome>("/operator/publish", body);
+    const answer = await endpoint.post<release.PublishOutcome>("/operator/publish", body);
     const outcome = answer.ok ? answer.body : tryParseOutcome(answer.text);
     if (outcome === undefined) {
         return reportFailure(answer);
     }
-    return reportPublish(context, outcome, replaces);
+    return reportPublishOutcome(context, outcome, replaces);
 }
 
-/** `check FILE`: against the note in force where an instance can be asked, else as a first note. */
+/** `check FILE`: checks a note against the note in force, or as a first note if no instance can be reached. */
 export async function check(context: OperatorContext, file: string): Promise<exitCodes.ExitCode> {
     const source = tryReadFile(file);
     if (source === undefined) {
         return exitCodes.ExitCode.Usage;
     }
-    const face = new client.FaceClient(context.url, context.token);
-    const answer = await face.post<core.Checked<release.CheckedNote>>("/operator/check", { source, file });
+    const endpoint = new client.EndpointClient(context.url, context.token);
+    const answer = await endpoint.post<core.Checked<release.CheckedNote>>("/operator/check", { source, file });
     if (!answer.ok && answer.isReached) {
         return reportFailure(answer);
     }
@@ -54,7 +54,7 @@
     return checked.ok ? exitCodes.ExitCode.Success : exitCodes.ExitCode.Failure;
 }
 
-/** `status`: whether the note is in force everywhere, and where each upstream stands. */
+/** `status`: prints whether the note is in force on every live instance, and the progress of each upstream. */
 export async function status(context: OperatorContext): Promise<exitCodes.ExitCode> {
     const answer = await fleetView.readFleet(context.url, context.token);
     if (!answer.ok) {
@@ -66,10 +66,10 @@
     return fleet.isInForce && isReached ? exitCodes.ExitCode.Success : exitCodes.ExitCode.NotReached;
 }
 
-/** `history`: every note with who published it and when. */
+/** `history`: prints every published note with its author and time. */
 export async function history(context: OperatorContext): Promise<exitCodes.ExitCode> {
-    const face = new client.FaceClient(context.url, context.token);
-    const answer = await face.get<{ readonly history: readonly release.HistoryEntry[] }>("/operator/history");
+    const endpoint = new client.EndpointClient(context.url, context.token);
+    const answer = await endpoint.get<{ readonly history: readonly release.HistoryEntry[] }>("/operator/history");
     if (!answer.ok) {
         return reportFailure(answer);
     }
@@ -77,7 +77,7 @@
     return exitCodes.ExitCode.Success;
 }
 
-/** `timeline`: the events of all instances in causal order. */
+/** `timeline`: prints the events of all instances in causal order. */
 export async function timeline(context: OperatorContext, filter: URLSearchParams): Promise<exitCodes.ExitCode> {
     const query = filter.size === 0 ? "" : `?${filter.toString()}`;
     const answer = await fleetView.readTimeLine(context.url, context.token, query);
@@ -127,7 +127,7 @@
     }
 }
 
-function reportPublish(
+function reportPublishOutcome(
     context: OperatorContext,
     outcome: release.PublishOutcome,
     replaces: number,
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,4 +1,4 @@
-/** Writes a table of texts with aligned columns. */
+/** Formats a table with aligned columns. */
 export function formatTable(header: readonly string[], rows: readonly (readonly string[])[]): string {
     const lines = [header, ...rows];
     const widths = header.map((title, column) => Math.max(...lines.map(line => (line[column] ?? "").length)));
@@ -14,7 +14,7 @@
     return new Date(wallMilliseconds).toISOString();
 }
 
-/** Prints JSON for programs, or the text for people. */
+/** Prints the value as JSON, or the formatted text. */
 export function print(isJson: boolean, value: unknown, formatText: () => string): void {
     process.stdout.write((isJson ? JSON.stringify(value, undefined, 2) : formatText()) + "\n");
 }
--- a/packages/cli/src/program.ts
+++ b/packages/cli/src/program.ts
@@ -13,7 +13,7 @@
 type Flags = Readonly<Record<string, unknown>>;
 type Action = () => Promise<exitCodes.ExitCode>;
 
-/** Runs one command line; the result is the process's exit code. */
+/** Runs one command line and returns the exit code of the process. */
 export async function run(argumentVector: readonly string[]): Promise<exitCodes.ExitCode> {
     const program = createProgram();
     try {
@@ -35,11 +35,11 @@
 
 function createProgram(): cac.CAC {
     const program = cac.cac("boragedale");
-    addEntry(program);
+    addEntryCommand(program);
     addOperatorCommands(program);
     addJobCommands(program);
     program
-        .command("explain <id> [...files]", "Show what the logs of all processes tell of a request, submission or item")
+        .command("explain <id> [...files]", "Show the log lines of all processes about a request, submission or item")
         .action(
             (id: string, files: readonly string[]): Action =>
                 async () =>
@@ -60,12 +60,12 @@
     return exitCodes.ExitCode.Usage;
 }
 
-function addEntry(program: cac.CAC): void {
+function addEntryCommand(program: cac.CAC): void {
     const command = program.command("entry", "Run an entry instance until SIGTERM, then drain and stop");
     for (const setting of entry.EntrySettingDefinitions) {
         addOption(command, setting);
     }
-    // cac hands flags over in camel case; settings are known by the flag as it is written.
+    // cac passes flag names in camel case; settings are looked up by the name as written on the command line.
     command.action(
         (flags: Flags): Action =>
             () =>
@@ -83,22 +83,25 @@
                 throw new Error("--replaces needs the generation that the note replaces, as status shows it");
             }
             const author = flags["author"] === undefined ? undefined : String(flags["author"]);
-            return () => withOperator(flags, context => operatorCommands.publish(context, file, replaces, author));
+            return () =>
+                withOperatorContext(flags, context => operatorCommands.publish(context, file, replaces, author));
         });
     addOperatorOptions(program.command("check <file>", "Check a release note and show what it changes")).action(
         (file: string, flags: Flags): Action =>
             () =>
-                withOperator(flags, context => operatorCommands.check(context, file)),
+                withOperatorContext(flags, context => operatorCommands.check(context, file)),
     );
-    addOperatorOptions(program.command("status", "Show whether the note is in force and where upstreams stand")).action(
+    addOperatorOptions(
+        program.command("status", "Show whether the note is in force, and the progress of upstreams"),
+    ).action(
         (flags: Flags): Action =>
             () =>
-                withOperator(flags, operatorCommands.status),
+                withOperatorContext(flags, operatorCommands.status),
     );
     addOperatorOptions(program.command("history", "List the release notes")).action(
         (flags: Flags): Action =>
             () =>
-                withOperator(flags, operatorCommands.history),
+                withOperatorContext(flags, operatorCommands.history),
     );
     addOperatorOptions(program.command("timeline", "Show the events of all instances in causal order"))
         .option("--request <id>", "Only events of this request")
@@ -109,7 +112,9 @@
         .action(
             (flags: Flags): Action =>
                 () =>
-                    withOperator(flags, context => operatorCommands.timeline(context, createFilter(flags))),
+                    withOperatorContext(flags, context =>
+                        operatorCommands.timeline(context, createTimelineFilter(flags)),
+                    ),
         );
 }
 
@@ -123,14 +128,14 @@
     }
     command
         .option("--json", "Print JSON")
-        .option("--key <text>", "submit: idempotency key; the same key gives the same job")
+        .option("--key <text>", "submit: idempotency key; submitting again with the same key returns the same job")
         .option("--window <time>", "submit: time to complete, such as 24h, 30m or 90s")
         .option("--endpoint <path>", "submit: path of every item (default: /v1/chat/completions)")
         .option("--errors", "results: the error file instead of the output file")
         .action(
             (action: string, argument: string | undefined, flags: Flags): Action =>
                 () =>
-                    withCaller(flags, context => runJobAction(context, action, argument, flags)),
+                    withCallerContext(flags, context => runJobAction(context, action, argument, flags)),
         );
 }
 
@@ -183,11 +188,11 @@
     },
 ): void {
     const variable = entry.getVariableName(setting.flag);
-    const fallback = setting.default === undefined ? "required" : `default: ${setting.default || "none"}`;
-    command.option(`--${setting.flag} <${setting.unit}>`, `${setting.meaning} [${variable}; ${fallback}]`);
+    const defaultText = setting.default === undefined ? "required" : `default: ${setting.default || "none"}`;
+    command.option(`--${setting.flag} <${setting.unit}>`, `${setting.meaning} [${variable}; ${defaultText}]`);
 }
 
-async function withOperator(
+async function withOperatorContext(
     flags: Flags,
     action: (context: operatorCommands.OperatorContext) => Promise<exitCodes.ExitCode>,
 ): Promise<exitCodes.ExitCode> {
@@ -200,7 +205,7 @@
     );
 }
 
-async function withCaller(
+async function withCallerContext(
     flags: Flags,
     action: (context: jobCommands.CallerContext) => Promise<exitCodes.ExitCode>,
 ): Promise<exitCodes.ExitCode> {
@@ -226,10 +231,10 @@
     return action(checked.value);
 }
 
-function createFilter(flags: Flags): URLSearchParams {
+function createTimelineFilter(flags: Flags): URLSearchParams {
     const names = ["request", "job", "upstream", "generation", "number"];
-    const given = names.filter(name => flags[name] !== undefined);
-    return new URLSearchParams(Object.fromEntries(given.map(name => [name, String(flags[name])])));
+    const givenNames = names.filter(name => flags[name] !== undefined);
+    return new URLSearchParams(Object.fromEntries(givenNames.map(name => [name, String(flags[name])])));
 }
 
 function restoreFlagNames(flags: Flags): Flags {
