--- a/packages/cli/src/jobCommands.ts
+++ b/packages/cli/src/jobCommands.ts
@@ -33,12 +33,12 @@
     file: string,
     options: SubmitOptions,
 ): Promise<exitCodes.ExitCode> {
-    const endpoint = new client.EndpointClient(context.url, context.token);
+    const callerEndpoint = new client.EndpointClient(context.url, context.token);
     const blob = await tryOpenBlob(file);
     if (blob === undefined) {
         return exitCodes.ExitCode.Usage;
     }
-    const uploaded = await endpoint.upload<{ readonly id: string }>("/v1/files", blob, path.basename(file));
+    const uploaded = await callerEndpoint.upload<{ readonly id: string }>("/v1/files", blob, path.basename(file));
     if (!uploaded.ok) {
         return operatorCommands.reportFailure(uploaded);
     }
@@ -48,13 +48,13 @@
         endpoint: options.endpoint,
         completion_window: options.window,
     };
-    return printBatch(context, await endpoint.post<Batch>("/v1/batches", body, headers));
+    return printBatch(context, await callerEndpoint.post<Batch>("/v1/batches", body, headers));
 }
 
 /** `jobs list`: prints up to 100 jobs. */
 export async function list(context: CallerContext): Promise<exitCodes.ExitCode> {
-    const endpoint = new client.EndpointClient(context.url, context.token);
-    const answer = await endpoint.get<{ readonly data: readonly Batch[] }>("/v1/batches?limit=100");
+    const callerEndpoint = new client.EndpointClient(context.url, context.token);
+    const answer = await callerEndpoint.get<{ readonly data: readonly Batch[] }>("/v1/batches?limit=100");
     if (!answer.ok) {
         return operatorCommands.reportFailure(answer);
     }
@@ -64,21 +64,21 @@
 
 /** `jobs show ID`: prints one job. */
 export async function show(context: CallerContext, id: string): Promise<exitCodes.ExitCode> {
-    const endpoint = new client.EndpointClient(context.url, context.token);
-    return printBatch(context, await endpoint.get<Batch>(`/v1/batches/${encodeURIComponent(id)}`));
+    const callerEndpoint = new client.EndpointClient(context.url, context.token);
+    return printBatch(context, await callerEndpoint.get<Batch>(`/v1/batches/${encodeURIComponent(id)}`));
 }
 
 /** `jobs cancel ID`: cancels a job and prints it. */
 export async function cancel(context: CallerContext, id: string): Promise<exitCodes.ExitCode> {
-    const endpoint = new client.EndpointClient(context.url, context.token);
-    return printBatch(context, await endpoint.post<Batch>(`/v1/batches/${encodeURIComponent(id)}/cancel`, {}));
+    const callerEndpoint = new client.EndpointClient(context.url, context.token);
+    return printBatch(context, await callerEndpoint.post<Batch>(`/v1/batches/${encodeURIComponent(id)}/cancel`, {}));
 }
 
 /** `jobs results ID`: writes the output file, or with `isErrorFile` the error file, to standard output. */
 export async function results(context: CallerContext, id: string, isErrorFile: boolean): Promise<exitCodes.ExitCode> {
-    const endpoint = new client.EndpointClient(context.url, context.token);
+    const callerEndpoint = new client.EndpointClient(context.url, context.token);
     const file = `${id}-${isErrorFile ? "errors" : "output"}`;
-    const answer = await endpoint.download(`/v1/files/${encodeURIComponent(file)}/content`);
+    const answer = await callerEndpoint.download(`/v1/files/${encodeURIComponent(file)}/content`);
     if (!answer.ok) {
         return operatorCommands.reportFailure(answer);
     }
