--- a/deploy/start.mjs
+++ b/deploy/start.mjs
@@ -4,8 +4,8 @@
 import * as vm from "node:vm";
 
 /**
- * Starts the bundle with the compiled code that the build kept beside it. Code that another runtime compiled, or one with other flags, is
- * rejected by the runtime and compiled anew.
+ * Starts the bundle with the compiled code that `bundle.mjs` stored next to it. The runtime rejects compiled code of another
+ * runtime version or other flags, and then compiles the bundle again.
  */
 
 const codeFile = path.join(import.meta.dirname, "boragedale.code.js");
