--- a/packages/release/src/fleetCapacity.ts
+++ b/packages/release/src/fleetCapacity.ts
@@ -1,7 +1,7 @@
 import * as core from "@boragedale/core";
 
-/** Upstreams that the note assigns to a model for a class of requests and that are not leaving. */
-export function countAssigned(
+/** Counts the upstreams that are assigned to a model, serve the class of requests and are not leaving. */
+export function countAssignedUpstreams(
     fleet: core.FleetDescription,
     model: core.ModelId,
     requestClass: core.RequestClass,
--- a/packages/release/src/keyValueNoteKeeper.ts
+++ b/packages/release/src/keyValueNoteCache.ts
@@ -8,66 +8,76 @@
 import * as rolloutClaims from "./rolloutClaims.js";
 import * as services from "./services.js";
 
-/** Where the keeper hears which generation each peer has in force. */
+/** Source of the peers' heartbeats, which carry the generation that each peer has in force. */
 export interface HeartbeatSource {
     onHeartbeat(listener: (from: core.InstanceId, heartbeat: protocol.Heartbeat) => void): () => void;
 }
 
-export interface KeeperOptions {
+export interface KeyValueNoteCacheOptions {
     readonly keyValue: backing.KeyValueService;
     readonly network: protocol.PeerNetwork;
     readonly heartbeats: HeartbeatSource;
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
-    /** Number of live instances, which share the reads of the key-value service. */
+    /** Number of live instances, which share the periodic reads of the key-value service. */
     readonly countInstances: () => number;
-    /** Folder that outlives the process, where the instance has one. */
+    /** Folder that persists across restarts, if the instance has one. */
     readonly dataFolder?: string;
 }
 
 /**
- * The periodic read finds a note whose watch event and peers were all lost. At 400 instances it is spread over 20 s
- * and costs the service 20 reads a second; the few instances of today read every 2 s, inside the 3 s that are allowed.
+ * The periodic read finds a note when both its watch event and the peers' heartbeats are lost. All instances together
+ * make at most 20 reads a second, so that 400 instances read every 20 s. A few instances read every 2 s, within the 3 s
+ * in which a note has to come into force.
  */
-const ShortestReadMilliseconds = 2_000;
-const ReadsPerSecond = 20;
+const MinimumReadIntervalMilliseconds = 2_000;
+const FleetReadsPerSecond = 20;
 
-/** A note that neither platform nor peer confirmed for this long may be old: longer than the longest read interval. */
-const ConfirmedMilliseconds = 30_000;
+/**
+ * A note that neither the key-value service nor a peer confirmed for this long may be outdated. Longer than the longest
+ * read interval.
+ */
+const ConfirmationExpiryMilliseconds = 30_000;
 const PullTimeoutMilliseconds = 1_000;
-const WatchRetryMilliseconds = 500;
-const NoteFile = "note-in-force";
+const WatchRetryDelayMilliseconds = 500;
+const NoteFileName = "note-in-force";
 
 /**
- * Holds the note in force. Three ways lead to it, each enough on its own: the watch (milliseconds), a peer whose
- * heartbeat tells a higher generation (a second), the periodic read. Whatever the way, a generation that is not
- * higher is dropped, so a stale read or a slow peer never takes an instance back.
+ * Holds the note in force. A new note arrives in one of three ways, each of which suffices: the watch (within
+ * milliseconds), a pull from a peer whose heartbeat carries a higher generation (within a second), and the periodic
+ * read. A note whose generation is not higher is ignored, so that a stale read or a slow peer never reverts an instance
+ * to an older note.
  */
 export class KeyValueNoteKeeper extends services.NoteKeeper {
     private note: core.NoteInForce | undefined;
     private confirmedAt: core.MonotonicMilliseconds | undefined;
     private wasConfirmed = false;
     private readonly claims = new Map<string, rolloutClaims.Claim>();
-    private pull: Promise<void> | undefined;
+    private pendingPull: Promise<void> | undefined;
     private readonly listeners = new Set<(note: core.NoteInForce) => void>();
-    private readonly stopper = new AbortController();
+    private readonly abortController = new AbortController();
     private readonly tasks: Promise<void>[] = [];
-    private writing: Promise<void> = Promise.resolve();
-    private stopHeartbeats: () => void = () => undefined;
+    private pendingWrite: Promise<void> = Promise.resolve();
+    private unsubscribeHeartbeats: () => void = () => undefined;
 
-    private constructor(private readonly options: KeeperOptions) {
+    private constructor(private readonly options: KeyValueNoteCacheOptions) {
         super();
     }
 
-    /** Starts keeping. Returns once the note was read from the data folder and, if it answers, the backing. */
-    static async start(options: KeeperOptions): Promise<KeyValueNoteKeeper> {
-        const keeper = new KeyValueNoteKeeper(options);
-        await keeper.readFile();
-        keeper.answerPeers();
-        keeper.stopHeartbeats = options.heartbeats.onHeartbeat((from, heartbeat) => keeper.hear(from, heartbeat));
-        const revision = await keeper.read();
-        keeper.tasks.push(keeper.runWatch(revision ?? 0), keeper.runReads());
-        return keeper;
+    /**
+     * Starts the cache. Returns once the note was read from the data folder and from the key-value service, if the
+     * service answers.
+     */
+    static async start(options: KeyValueNoteCacheOptions): Promise<KeyValueNoteKeeper> {
+        const cache = new KeyValueNoteKeeper(options);
+        await cache.readFile();
+        cache.handleNoteRequests();
+        cache.unsubscribeHeartbeats = options.heartbeats.onHeartbeat((from, heartbeat) =>
+            cache.handleHeartbeat(from, heartbeat),
+        );
+        const revision = await cache.readNoteAndClaims();
+        cache.tasks.push(cache.runWatch(revision ?? 0), cache.runPeriodicReads());
+        return cache;
     }
 
     override tryGetNote(): core.NoteInForce | undefined {
@@ -81,7 +91,7 @@
 
     override isConfirmed(): boolean {
         const now = this.options.clock.now();
-        return this.confirmedAt !== undefined && now - this.confirmedAt <= ConfirmedMilliseconds;
+        return this.confirmedAt !== undefined && now - this.confirmedAt <= ConfirmationExpiryMilliseconds;
     }
 
     override getChangingUpstreams(): ReadonlySet<core.UpstreamId> {
@@ -89,11 +99,11 @@
     }
 
     override async [Symbol.asyncDispose](): Promise<void> {
-        this.stopHeartbeats();
-        this.stopper.abort();
+        this.unsubscribeHeartbeats();
+        this.abortController.abort();
         await Promise.all(this.tasks);
-        await this.pull;
-        await this.writing;
+        await this.pendingPull;
+        await this.pendingWrite;
     }
 
     private adopt(note: core.NoteInForce): void {
@@ -105,54 +115,57 @@
         for (const listener of this.listeners) {
             listener(note);
         }
-        this.writing = this.writing.then(() => this.writeFile(note));
+        this.pendingWrite = this.pendingWrite.then(() => this.writeFile(note));
     }
 
     private async runWatch(firstRevision: backing.Revision): Promise<void> {
         const { clock, keyValue } = this.options;
-        const signal = this.stopper.signal;
+        const signal = this.abortController.signal;
         let afterRevision = firstRevision;
         while (!signal.aborted) {
             const request = { prefix: noteStore.CurrentNoteKey, afterRevision, signal };
             for await (const event of keyValue.watch(request)) {
-                afterRevision = Math.max(afterRevision, await this.take(event));
+                afterRevision = Math.max(afterRevision, await this.handleWatchEvent(event));
             }
-            await clock.sleep(WatchRetryMilliseconds, signal);
+            await clock.sleep(WatchRetryDelayMilliseconds, signal);
         }
     }
 
-    /** Handles one event of the watch; returns the revision that is known afterwards. */
-    private async take(event: backing.WatchEvent): Promise<backing.Revision> {
+    /** Handles one watch event; returns the revision that the cache reflects afterwards. */
+    private async handleWatchEvent(event: backing.WatchEvent): Promise<backing.Revision> {
         switch (event.kind) {
             case backing.WatchEventKind.Changed:
-                this.takeEntry(event.entry);
+                this.applyEntry(event.entry);
                 return event.entry.revision;
             case backing.WatchEventKind.Removed:
-                // Nobody of ours removes the note. Whoever did, the note in force stays: it never reverts.
+                // If the note itself is removed, which no instance does, the note in force stays: it never reverts.
                 this.claims.delete(event.key);
                 return event.revision;
             case backing.WatchEventKind.Gap:
-                await this.read();
+                await this.readNoteAndClaims();
                 return event.revision;
         }
     }
 
-    private async runReads(): Promise<void> {
-        const signal = this.stopper.signal;
+    private async runPeriodicReads(): Promise<void> {
+        const signal = this.abortController.signal;
         while (!signal.aborted) {
-            const shared = (this.options.countInstances() / ReadsPerSecond) * 1_000;
-            await this.options.clock.sleep(Math.max(ShortestReadMilliseconds, shared), signal);
+            const fleetIntervalMilliseconds = (this.options.countInstances() / FleetReadsPerSecond) * 1_000;
+            await this.options.clock.sleep(
+                Math.max(MinimumReadIntervalMilliseconds, fleetIntervalMilliseconds),
+                signal,
+            );
             if (!signal.aborted) {
-                await this.read();
+                await this.readNoteAndClaims();
                 this.reportConfirmation();
             }
         }
     }
 
-    private async read(): Promise<backing.Revision | undefined> {
+    private async readNoteAndClaims(): Promise<backing.Revision | undefined> {
         const result = await this.options.keyValue.list({
             prefix: noteStore.CurrentNoteKey,
-            limit: rolloutClaims.MostClaims,
+            limit: rolloutClaims.MaximumClaims,
             purpose: backing.CallPurpose.Note,
         });
         if (!result.ok) {
@@ -160,14 +173,14 @@
         }
         this.claims.clear();
         for (const entry of result.value) {
-            this.takeEntry(entry);
+            this.applyEntry(entry);
         }
         return Math.max(0, ...result.value.map(entry => entry.revision));
     }
 
-    private takeEntry(entry: backing.Entry): void {
+    private applyEntry(entry: backing.Entry): void {
         if (entry.key === noteStore.CurrentNoteKey) {
-            this.adoptEntry(entry);
+            this.applyNoteEntry(entry);
             return;
         }
         const claim = rolloutClaims.tryDecodeClaim(entry);
@@ -176,40 +189,40 @@
         }
     }
 
-    private adoptEntry(entry: backing.Entry): void {
+    private applyNoteEntry(entry: backing.Entry): void {
         const note = noteStore.tryDecodeNote(entry.value);
         if (note === undefined) {
             this.options.telemetry.record(telemetry.events.NoteRejected, { text: `revision ${entry.revision}` });
             return;
         }
         if (note.generation >= (this.note?.generation ?? 0)) {
-            this.confirm();
+            this.recordConfirmation();
         }
         this.adopt(note);
     }
 
-    private answerPeers(): void {
+    private handleNoteRequests(): void {
         this.options.network.handle(protocol.MessageKind.NoteRequest, async request => ({
             kind: protocol.MessageKind.NoteReply,
             note: this.note !== undefined && this.note.generation > request.newerThan ? this.note : undefined,
         }));
     }
 
-    private hear(from: core.InstanceId, heartbeat: protocol.Heartbeat): void {
-        const own = this.note?.generation ?? 0;
-        if (heartbeat.generation > 0 && heartbeat.generation === own) {
-            this.confirm();
+    private handleHeartbeat(from: core.InstanceId, heartbeat: protocol.Heartbeat): void {
+        const ownGeneration = this.note?.generation ?? 0;
+        if (heartbeat.generation > 0 && heartbeat.generation === ownGeneration) {
+            this.recordConfirmation();
         }
-        // One pull at a time: at a publish every peer tells the new generation within the same second.
-        if (heartbeat.generation > own && this.pull === undefined) {
-            this.pull = this.pullFrom(from, own).finally(() => {
-                this.pull = undefined;
+        // One pull at a time: after a publish all peers report the new generation within the same second.
+        if (heartbeat.generation > ownGeneration && this.pendingPull === undefined) {
+            this.pendingPull = this.pullFrom(from, ownGeneration).finally(() => {
+                this.pendingPull = undefined;
             });
         }
     }
 
-    private async pullFrom(peer: core.InstanceId, own: core.Generation): Promise<void> {
-        const request: protocol.NoteRequest = { kind: protocol.MessageKind.NoteRequest, newerThan: own };
+    private async pullFrom(peer: core.InstanceId, ownGeneration: core.Generation): Promise<void> {
+        const request: protocol.NoteRequest = { kind: protocol.MessageKind.NoteRequest, newerThan: ownGeneration };
         const result = await this.options.network.request(peer, request, {
             lane: protocol.Lane.Bulk,
             timeoutMilliseconds: PullTimeoutMilliseconds,
@@ -219,12 +232,12 @@
         }
         const note = noteStore.tryReadNote(result.message.note);
         if (note !== undefined) {
-            this.confirm();
+            this.recordConfirmation();
             this.adopt(note);
         }
     }
 
-    private confirm(): void {
+    private recordConfirmation(): void {
         this.confirmedAt = this.options.clock.now();
         this.wasConfirmed = true;
     }
@@ -242,30 +255,31 @@
             return;
         }
         try {
-            const value = await fileSystem.readFile(path.join(this.options.dataFolder, NoteFile));
+            const value = await fileSystem.readFile(path.join(this.options.dataFolder, NoteFileName));
             const note = noteStore.tryDecodeNote(value);
             if (note !== undefined) {
                 this.adopt(note);
             }
         }
         catch {
-            // No file: the first start here. The note comes from the platform or a peer.
+            // There is no file on the first start. The note then comes from the key-value service or a peer.
         }
     }
 
-    /** Replaces the file by a rename, so that a crash midway leaves the old note and not half of a new one. */
+    /** Writes a temporary file and renames it, so that a crash leaves the old note and never a partial one. */
     private async writeFile(note: core.NoteInForce): Promise<void> {
         if (this.options.dataFolder === undefined) {
             return;
         }
-        const target = path.join(this.options.dataFolder, NoteFile);
+        const target = path.join(this.options.dataFolder, NoteFileName);
         const temporary = `${target}.${note.generation}`;
         try {
             await fileSystem.writeFile(temporary, noteStore.encodeNote(note));
             await fileSystem.rename(temporary, target);
         }
         catch (error) {
-            // The file only shortens a start during an outage; a full disk must not stop the note coming into force.
+            // The file is only needed to start during an outage; a full disk must not keep the note from coming into
+            // force.
             this.options.telemetry.record(telemetry.events.NoteRejected, { text: `not stored: ${String(error)}` });
         }
     }
--- a/packages/release/src/keyValueNotePublisher.ts
+++ b/packages/release/src/keyValueNotePublisher.ts
@@ -11,13 +11,16 @@
     readonly keyValue: backing.KeyValueService;
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
-    /** Makes the text by which a publisher recognises its own write; random by default. */
+    /** Creates the text by which a publisher recognises its own write; random by default. */
     readonly createNonce?: () => string;
 }
 
-/** Tries of one publish while the service does not answer, and the wait after the first; each wait doubles. */
-const Tries = 5;
-const FirstWaitMilliseconds = 50;
+/**
+ * Attempts of one publish while the service does not answer, and the delay after the first attempt; the delay doubles
+ * after each attempt.
+ */
+const MaximumAttempts = 5;
+const FirstRetryDelayMilliseconds = 50;
 const HistoryPageSize = 200;
 
 interface CurrentNote {
@@ -30,9 +33,9 @@
     | { readonly isFinal: false; readonly text: string; readonly mayBeWritten: boolean };
 
 /**
- * Publishes by one compare-and-swap on the current note. Of two operators who replace the same generation one finds
- * the revision changed and is shown the note that won. A reply that is lost after the write is read back and known by
- * its nonce, so that neither the operator nor this class ever publishes one note twice.
+ * Publishes a note by a compare-and-swap on the current note. When two operators replace the same generation, one of
+ * them gets a conflict with the note that was published first. When the reply to a write is lost, the note is read back
+ * and recognised by its nonce, so that it is never published twice.
  */
 export class KeyValueNotePublisher extends services.NotePublisher {
     private readonly createNonce: () => string;
@@ -46,21 +49,22 @@
         const nonce = this.createNonce();
         let text = "";
         let mayBeWritten = false;
-        let triesLeft = Tries;
-        for (let wait = FirstWaitMilliseconds; triesLeft > 0; wait *= 2) {
+        let attemptsLeft = MaximumAttempts;
+        for (let delayMilliseconds = FirstRetryDelayMilliseconds; attemptsLeft > 0; delayMilliseconds *= 2) {
             const result = await this.tryPublish(request, nonce);
             if (result.isFinal) {
                 return result.outcome;
             }
             text = result.text;
-            triesLeft--;
+            attemptsLeft--;
             if (result.mayBeWritten && !mayBeWritten) {
-                // What was written must be read back, even when the reply was lost at the last try.
+                // A note that may have been written must be read back, even when the reply to the last attempt was
+                // lost.
                 mayBeWritten = true;
-                triesLeft = Tries;
-                wait = FirstWaitMilliseconds;
+                attemptsLeft = MaximumAttempts;
+                delayMilliseconds = FirstRetryDelayMilliseconds;
             }
-            await this.options.clock.sleep(wait);
+            await this.options.clock.sleep(delayMilliseconds);
         }
         const hint = mayBeWritten ? "; it may be in force: publish the same note again to know" : "";
         return { kind: types.PublishKind.Unavailable, text: text + hint };
@@ -93,7 +97,7 @@
         }
     }
 
-    /** One try. Repeating it is harmless: the revision that it replaces can be replaced only once. */
+    /** Makes one attempt. Repeating it is harmless, since the revision that it replaces can be replaced only once. */
     private async tryPublish(request: types.PublishRequest, nonce: string): Promise<Attempt> {
         const current = await this.readCurrent();
         if (!current.ok) {
@@ -101,7 +105,7 @@
         }
         const { note, revision } = current.value;
         if (note !== undefined && isSamePublish(note, request, nonce)) {
-            return this.finish(note, []);
+            return this.createPublished(note, []);
         }
         if ((note?.generation ?? 0) !== request.replaces) {
             return this.resolveConflict(request, nonce, note);
@@ -113,7 +117,7 @@
         if (note !== undefined) {
             await this.writeHistory(note, undefined);
         }
-        return this.swap(this.createNote(request, checked.value, nonce), revision, checked);
+        return this.swapCurrentNote(this.createNote(request, checked.value, nonce), revision, checked);
     }
 
     private createNote(request: types.PublishRequest, checked: types.CheckedNote, nonce: string): core.NoteInForce {
@@ -127,7 +131,7 @@
         };
     }
 
-    private async swap(
+    private async swapCurrentNote(
         note: core.NoteInForce,
         revision: backing.Revision,
         checked: core.Checked<types.CheckedNote> & { readonly ok: true },
@@ -147,16 +151,17 @@
             return { isFinal: false, text: result.failure.text, mayBeWritten };
         }
         if (!result.value.swapped) {
-            // The next try reads the winner, or finds that the write of an earlier try was this one's own.
+            // The next attempt reads the note that won, which may be the one that an earlier attempt of this publish
+            // wrote.
             return { isFinal: false, text: "another note was published at the same moment", mayBeWritten: false };
         }
         await this.writeHistory(note, checked.value.differences);
-        return this.finish(note, checked.findings);
+        return this.createPublished(note, checked.findings);
     }
 
     /**
-     * The generation is not the one to replace. After a lost reply the own note may have been in force and been
-     * replaced already; its record in the history still carries the nonce.
+     * Handles a current generation that differs from the one to replace. After a lost reply the request's own note may
+     * have been in force and been replaced already; its history record still has the nonce.
      */
     private async resolveConflict(
         request: types.PublishRequest,
@@ -170,19 +175,20 @@
         }
         const record = entry.value === undefined ? undefined : noteStore.tryDecodeHistory(entry.value.value);
         if (record?.nonce === nonce && current !== undefined) {
-            return this.finish(current, []);
+            return this.createPublished(current, []);
         }
         return { isFinal: true, outcome: { kind: types.PublishKind.Conflict, current } };
     }
 
-    private finish(note: core.NoteInForce, findings: readonly core.Finding[]): Attempt {
+    private createPublished(note: core.NoteInForce, findings: readonly core.Finding[]): Attempt {
         this.options.telemetry.record(telemetry.events.NotePublished, { generation: note.generation });
         return { isFinal: true, outcome: { kind: types.PublishKind.Published, note, findings } };
     }
 
     /**
-     * Best effort: a publisher that dies between the note and its record leaves a hole, which the next publisher
-     * fills before it replaces the note. The key must be absent, so writing it twice is harmless.
+     * Writes a history record on a best-effort basis. When a publisher fails between writing the note and its record,
+     * the next publisher writes the missing record before it replaces the note. The write requires that the key is
+     * absent, so repeating it is harmless.
      */
     private async writeHistory(note: core.NoteInForce, differences: readonly string[] | undefined): Promise<void> {
         const record: noteStore.HistoryRecord = {
@@ -218,7 +224,10 @@
     }
 }
 
-/** The own write of an earlier try, or the same note published again by an operator who never saw the answer. */
+/**
+ * Whether the note is the write of an earlier attempt, or the same note that an operator publishes again after the
+ * answer to the first request was lost.
+ */
 function isSamePublish(note: core.NoteInForce, request: types.PublishRequest, nonce: string): boolean {
     const isRepeated = note.source === request.source && note.author === request.author;
     return note.generation === request.replaces + 1 && (note.nonce === nonce || isRepeated);
--- a/packages/release/src/forceReport.ts
+++ b/packages/release/src/noteAdoptionReport.ts
@@ -1,33 +1,33 @@
 import type * as core from "@boragedale/core";
 
-/** What one instance said when it was asked for the generation it has in force. */
-export interface ForceAnswer {
+/** The reply of one instance to the question which generation it has in force. */
+export interface GenerationAnswer {
     readonly instance: core.InstanceId;
-    /** Undefined when it did not answer. */
+    /** Undefined when the instance did not answer. */
     readonly generation: core.Generation | undefined;
-    /** Since when it has that generation, or since when it has not answered. */
+    /** Since when the instance has had that generation, or since when it has not answered. */
     readonly since: core.WallMilliseconds;
 }
 
-/** Whether a note is in force, and who keeps it from being so. */
-export interface ForceReport {
+/** Whether a note is in force on every live instance, and which instances have not confirmed it. */
+export interface NoteAdoptionReport {
     readonly generation: core.Generation;
-    /** True only when every live instance confirmed the generation or a higher one. */
+    /** True only when every live instance confirmed this generation or a higher one. */
     readonly isInForce: boolean;
     /** Live instances that have an older note or did not answer. */
-    readonly missing: readonly ForceAnswer[];
+    readonly missing: readonly GenerationAnswer[];
 }
 
 /**
- * Puts the answers of all instances together. An instance that is live and silent counts as missing: saying "in
- * force" without it would be a guess, and the callers behind it might be served by the old note.
+ * Combines the answers of all instances. A live instance that did not answer counts as missing, since it may still
+ * serve its callers by the old note.
  */
-export function createForceReport(
+export function createNoteAdoptionReport(
     generation: core.Generation,
     live: readonly core.InstanceDescription[],
-    answers: readonly ForceAnswer[],
+    answers: readonly GenerationAnswer[],
     now: core.WallMilliseconds,
-): ForceReport {
+): NoteAdoptionReport {
     const byInstance = new Map(answers.map(answer => [answer.instance, answer]));
     const missing = live
         .map(({ id }) => byInstance.get(id) ?? { instance: id, generation: undefined, since: now })
--- a/packages/release/src/noteChecker.ts
+++ b/packages/release/src/noteChecker.ts
@@ -7,8 +7,8 @@
 import type * as types from "./types.js";
 
 /**
- * Reads a release note and puts it upon `base`, the fleet of the note in force (undefined for the first one). Reports
- * everything that is wrong at once, each finding with its line and column; nothing is written anywhere.
+ * Parses a release note and applies it to `base`, the fleet of the note in force (undefined for the first note).
+ * Reports all errors at once, each with its line and column. Has no side effects.
  */
 export function checkNote(
     source: string,
@@ -72,13 +72,13 @@
     return left.place.line - right.place.line || left.place.column - right.place.column;
 }
 
-/** Checks what no single entry shows: references, floors, addresses used twice. */
+/** Checks constraints across entries: references, floors, duplicate addresses and tokens. */
 class FleetChecker {
     private readonly findings: core.Finding[] = [];
     private readonly fleet: core.FleetDescription;
 
     constructor(
-        private readonly merge: noteMerge.Merge,
+        private readonly merge: noteMerge.MergeResult,
         private readonly base: core.FleetDescription | undefined,
         private readonly document: noteDocument.NoteDocument,
     ) {
@@ -102,7 +102,7 @@
         for (const upstream of this.fleet.upstreams) {
             const subject = `upstream/${upstream.id}`;
             const unknown = upstream.models.filter(model => !models.has(model));
-            unknown.forEach(model => this.reportReference(subject, ["models"], "model", model));
+            unknown.forEach(model => this.reportUnknownReference(subject, ["models"], "model", model));
             if (new Set(upstream.models).size < upstream.models.length) {
                 this.report(core.messages.NoteDuplicate, subject, ["models"], "a model of upstream", upstream.id);
             }
@@ -124,7 +124,7 @@
             for (const id of service.upstreams) {
                 const upstream = upstreams.get(id);
                 if (upstream === undefined) {
-                    this.reportReference(subject, ["upstreams"], "upstream", id);
+                    this.reportUnknownReference(subject, ["upstreams"], "upstream", id);
                 }
                 else if (upstream.kind !== core.UpstreamKind.Service) {
                     const text = `upstream '${id}' is a model engine`;
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Two callers with one token could not be told apart, so each would read the other's results. */
+    /** Two callers with the same token would be indistinguishable, and each could read the other's results. */
     private checkCallers(): void {
         const hashes = new Set<string>();
         for (const caller of this.fleet.callers) {
@@ -172,31 +172,31 @@
     }
 
     /**
-     * A floor that the assigned upstreams can't hold would stop the rollout for good: halfway, which is the failure
-     * that release notes exist to prevent. So it is refused before anything is written.
+     * Rejects a floor that the assigned upstreams can't meet. Such a floor would block the rollout permanently halfway
+     * through, which is the failure that release notes exist to prevent.
      */
     private checkFloor(model: core.ModelDescription, requestClass: core.RequestClass, floor: number): void {
-        const assigned = fleetCapacity.countAssigned(this.fleet, model.id, requestClass);
+        const assigned = fleetCapacity.countAssignedUpstreams(this.fleet, model.id, requestClass);
         const subject = `model/${model.id}`;
         const field = requestClass === core.RequestClass.Online ? "onlineFloor" : "batchFloor";
         if (floor > assigned) {
             const message = core.messages.NoteFloorUnreachable;
             this.report(message, subject, [field], model.id, floor, requestClass, assigned);
         }
-        else if (floor > 0 && floor === assigned && this.changesHeldModel(model)) {
+        else if (floor > 0 && floor === assigned && this.changesExistingModel(model)) {
             this.report(core.messages.NoteFloorBlocks, subject, [field], model.id, floor, requestClass);
         }
     }
 
-    private changesHeldModel(model: core.ModelDescription): boolean {
+    private changesExistingModel(model: core.ModelDescription): boolean {
         const before = this.base?.models.find(candidate => candidate.id === model.id);
         const isSame = (left: core.ModelDescription, right: core.ModelDescription): boolean =>
             JSON.stringify([left.version, left.adapters]) === JSON.stringify([right.version, right.adapters]);
         return before !== undefined && !isSame(before, model);
     }
 
-    private reportReference(subject: string, path: noteDocument.Path, noun: string, key: string): void {
-        // A reference breaks either where it stands or, when the note left that alone, where its target was withdrawn.
+    private reportUnknownReference(subject: string, path: noteDocument.Path, noun: string, key: string): void {
+        // Report the reference itself if the note contains it, and otherwise the withdrawal of its target.
         const start = this.merge.places.get(subject) ?? this.merge.places.get(`${noun}/${key}`) ?? [];
         const place = this.document.getPlace(this.merge.places.has(subject) ? [...start, ...path] : start);
         this.findings.push(core.createFinding(core.messages.NoteUnknownReference, place, noun, key));
--- a/packages/release/src/noteDifferences.ts
+++ b/packages/release/src/noteDifferences.ts
@@ -2,13 +2,13 @@
 import type * as upstreams from "@boragedale/upstreams";
 import * as fleetCapacity from "./fleetCapacity.js";
 
-/** An engine that a note changes, and whether weights must be read from the weight store for it. */
+/** An engine whose desired state a note changes, and whether the change reads from the weight store. */
 export interface AffectedUpstream {
     readonly id: core.UpstreamId;
     readonly needsLoad: boolean;
 }
 
-/** One line for each thing that `after` has and `before` has not, has otherwise, or has no more. */
+/** Returns one line for each addition (`+`), change (`~`) and removal (`-`) between the two fleets. */
 export function describeDifferences(
     before: core.FleetDescription | undefined,
     after: core.FleetDescription,
@@ -23,7 +23,7 @@
     ];
 }
 
-/** Engines whose desired state differs between the two fleets. */
+/** Returns the engines whose desired state differs between the two fleets. */
 export function getAffectedUpstreams(
     before: core.FleetDescription | undefined,
     after: core.FleetDescription,
@@ -33,7 +33,7 @@
         const old = before?.upstreams.find(candidate => candidate.id === upstream.id);
         const oldModels = before === undefined || old === undefined ? [] : getDesiredModels(before, old);
         const newModels = getDesiredModels(after, upstream);
-        if (old?.role !== upstream.role || !holdsSame(oldModels, newModels)) {
+        if (old?.role !== upstream.role || !holdsSameModels(oldModels, newModels)) {
             affected.push({ id: upstream.id, needsLoad: needsLoad(oldModels, newModels) });
         }
     }
@@ -41,9 +41,9 @@
 }
 
 /**
- * How many loads the longest way takes one after the other. The store's rate allows `concurrentLoads` at once; a
- * model's floor allows as many of its engines to be away as it has above it. Engines that served nothing before the
- * note are held up by no floor.
+ * Returns a lower bound of the number of sequential loads. The weight store allows `concurrentLoads` loads at once; a
+ * model's floor limits how many of the engines that serve it may load at once. Engines that did not serve the model
+ * before the note aren't limited by its floor.
  */
 export function countRounds(before: core.FleetDescription | undefined, after: core.FleetDescription): number {
     const loading = getAffectedUpstreams(before, after).filter(upstream => upstream.needsLoad);
@@ -59,17 +59,19 @@
     loading: readonly AffectedUpstream[],
 ): number {
     const held = (before?.upstreams ?? []).filter(upstream => upstream.models.includes(model.id));
-    const taken = held.filter(upstream => loading.some(candidate => candidate.id === upstream.id)).length;
+    const affectedCount = held.filter(upstream => loading.some(candidate => candidate.id === upstream.id)).length;
     const getSpare = (requestClass: core.RequestClass, floor: number): number =>
-        fleetCapacity.countAssigned(after, model.id, requestClass) - floor;
+        fleetCapacity.countAssignedUpstreams(after, model.id, requestClass) - floor;
     const spare = Math.min(
         getSpare(core.RequestClass.Online, model.onlineFloor),
         getSpare(core.RequestClass.Batch, model.batchFloor),
     );
-    return taken === 0 ? 0 : Math.ceil(taken / Math.max(1, spare));
+    return affectedCount === 0 ? 0 : Math.ceil(affectedCount / Math.max(1, spare));
 }
 
-/** What an engine is to hold: its models at the versions and with the adapters of the note, sorted by name. */
+/**
+ * Returns the models that an engine has to hold, with their versions and adapters, in the order of the fleet's models.
+ */
 export function getDesiredModels(
     fleet: core.FleetDescription,
     upstream: core.UpstreamDescription,
@@ -79,11 +81,11 @@
         .map(model => ({ model: model.id, version: model.version, adapters: model.adapters }));
 }
 
-export function holdsSame(left: readonly upstreams.HeldModel[], right: readonly upstreams.HeldModel[]): boolean {
+export function holdsSameModels(left: readonly upstreams.HeldModel[], right: readonly upstreams.HeldModel[]): boolean {
     return formatHeldModels(left) === formatHeldModels(right);
 }
 
-/** Whether something of `right` (a version or an adapter) has to be read from the weight store. */
+/** Whether going from `left` to `right` reads a model version or an adapter from the weight store. */
 export function needsLoad(left: readonly upstreams.HeldModel[], right: readonly upstreams.HeldModel[]): boolean {
     return right.some(wanted => {
         const held = left.find(candidate => candidate.model === wanted.model && candidate.version === wanted.version);
@@ -93,7 +95,10 @@
     });
 }
 
-/** `heron@2.1+booking@4`, the same text for the same state whatever order an engine reports it in. */
+/**
+ * Formats held models as in `heron@2.1+booking@4`. Models and adapters are sorted, so that the text doesn't depend on
+ * the order in which an engine reports them.
+ */
 export function formatHeldModels(models: readonly upstreams.HeldModel[]): string {
     const formatModel = (held: upstreams.HeldModel): string => {
         const adapters = held.adapters.map(adapter => `+${adapter.id}@${adapter.version}`).sort();
--- a/packages/release/src/noteDocument.ts
+++ b/packages/release/src/noteDocument.ts
@@ -4,10 +4,10 @@
 
 export type Path = readonly PropertyKey[];
 
-/** Largest YAML text that is read, in bytes: the note must fit one value of the key-value service. */
+/** Largest accepted YAML source, in bytes. The note must fit one value of the key-value service. */
 export const MaximumSourceBytes = 900_000;
 
-/** YAML text that remembers where each of its values stands. */
+/** A parsed YAML source that can locate each of its values by line and column. */
 export class NoteDocument {
     private readonly lines = new yaml.LineCounter();
     private readonly document: yaml.Document.Parsed;
@@ -19,14 +19,14 @@
         this.document = yaml.parseDocument(source, { lineCounter: this.lines, prettyErrors: false });
     }
 
-    /** What is wrong with the YAML itself. */
+    /** Returns a finding for each YAML syntax error. */
     getSyntaxFindings(): readonly core.Finding[] {
         return this.document.errors.map(error =>
             core.createFinding(core.messages.NoteNotYaml, this.createPlace(error.pos[0]), error.message),
         );
     }
 
-    /** The plain value, or a finding where aliases would blow it up. */
+    /** Converts the document to a plain value; returns a finding when expanding its aliases would exceed the limit. */
     read(): core.Checked<unknown> {
         try {
             const value: unknown = this.document.toJS({ maxAliasCount: 100 });
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The place of the value at `path`, or of its nearest parent that is there. */
+    /** Returns the place of the value at `path`, or of its nearest existing parent. */
     getPlace(path: Path): core.Place {
         for (let length = path.length; length > 0; length--) {
             const node: unknown = this.document.getIn(path.slice(0, length), true);
@@ -49,7 +49,9 @@
         return this.createPlace(0);
     }
 
-    /** Findings for the issues of a schema. An unknown key is reported at the key, not at the mapping around it. */
+    /**
+     * Converts schema issues to findings. An unknown key is reported at the key, not at the mapping that contains it.
+     */
     createShapeFindings(issues: readonly zod.core.$ZodIssue[]): readonly core.Finding[] {
         return issues.flatMap(issue => {
             if (issue.code === "unrecognized_keys") {
--- a/packages/release/src/noteMerge.ts
+++ b/packages/release/src/noteMerge.ts
@@ -2,15 +2,15 @@
 import type * as noteDocument from "./noteDocument.js";
 import * as noteSchema from "./noteSchema.js";
 
-interface PlacedAdapter extends core.AdapterDescription {
+interface ModelAdapter extends core.AdapterDescription {
     readonly model: core.ModelId;
 }
 
-/** What one section of a note does to the things of one kind. */
-interface Delta<T, C> {
+/** The additions, changes and withdrawals of one section of a note, with the entries that they apply to. */
+interface SectionDelta<T, C> {
     /** Section name, such as `models`. */
     readonly section: string;
-    /** What one thing is called in a finding, such as `model`. */
+    /** What findings call one entry, such as `model`. */
     readonly noun: string;
     readonly base: readonly T[];
     readonly getKey: (value: T) => string;
@@ -21,11 +21,11 @@
     readonly withdrawn: readonly string[];
 }
 
-/** The fleet after a note, with the place of everything that the note mentions. */
-export interface Merge {
+/** The fleet after a note was applied, with the place of each entry in the note. */
+export interface MergeResult {
     readonly fleet: core.FleetDescription;
     readonly findings: readonly core.Finding[];
-    /** Where the note adds, changes or withdraws a thing; keys such as `upstream/engine-1`. */
+    /** Path in the note at which an entry is added, changed or withdrawn, by keys such as `upstream/engine-1`. */
     readonly places: ReadonlyMap<string, noteDocument.Path>;
 }
 
@@ -38,12 +38,15 @@
     policy: noteSchema.DefaultPolicy,
 };
 
-/** Puts a note upon the fleet before it. Findings name what is added twice, or changed or withdrawn without being. */
+/**
+ * Applies a note to the previous fleet. Reports entries that are mentioned twice, that are added although they exist,
+ * and that are changed or withdrawn although they don't exist.
+ */
 export function mergeNote(
     note: noteSchema.Note,
     base: core.FleetDescription | undefined,
     document: noteDocument.NoteDocument,
-): Merge {
+): MergeResult {
     const merger = new Merger(document);
     const before = base ?? EmptyFleet;
     const bareModels = merger.merge({
@@ -57,7 +60,7 @@
         applyChange: applyDefined,
         withdrawn: note.withdrawn.models,
     });
-    const adapters = merger.merge<PlacedAdapter, PlacedAdapter>({
+    const adapters = merger.merge<ModelAdapter, ModelAdapter>({
         section: "adapters",
         noun: "adapter",
         base: getKeptAdapters(before, note),
@@ -95,7 +98,7 @@
         weightStore: applyDefined(before.weightStore, note.weightStore ?? {}),
         policy: applyDefined(before.policy, note.policy ?? {}),
     };
-    reportStrayAdapters(adapters, fleet, merger);
+    reportAdaptersOfUnknownModels(adapters, fleet, merger);
     return { fleet, findings: merger.findings, places: merger.places };
 }
 
@@ -105,25 +108,28 @@
 
     constructor(private readonly document: noteDocument.NoteDocument) {}
 
-    merge<T, C>(delta: Delta<T, C>): readonly T[] {
+    merge<T, C>(delta: SectionDelta<T, C>): readonly T[] {
         const result = new Map(delta.base.map(value => [delta.getKey(value), value]));
         delta.changed.forEach((change, index) => {
             const key = delta.getChangedKey(change);
             const present = result.get(key);
-            if (!this.claim(delta, "changed", index, key) || !this.require(delta, "changed", index, key, present)) {
+            if (
+                !this.registerMention(delta, "changed", index, key) ||
+                !this.requirePresent(delta, "changed", index, key, present)
+            ) {
                 return;
             }
             result.set(key, delta.applyChange(present, change));
         });
         delta.withdrawn.forEach((key, index) => {
-            const isFirst = this.claim(delta, "withdrawn", index, key);
-            if (isFirst && this.require(delta, "withdrawn", index, key, result.get(key))) {
+            const isFirst = this.registerMention(delta, "withdrawn", index, key);
+            if (isFirst && this.requirePresent(delta, "withdrawn", index, key, result.get(key))) {
                 result.delete(key);
             }
         });
         delta.added.forEach((value, index) => {
             const key = delta.getKey(value);
-            if (!this.claim(delta, "added", index, key)) {
+            if (!this.registerMention(delta, "added", index, key)) {
                 return;
             }
             if (result.has(key)) {
@@ -138,8 +144,11 @@
         this.findings.push(core.createFinding(message, this.document.getPlace(path), ...values));
     }
 
-    /** A thing may stand in a note once: added and withdrawn together would depend on the order of reading. */
-    private claim<T, C>(delta: Delta<T, C>, part: string, index: number, key: string): boolean {
+    /**
+     * Registers the single place at which a note may mention an entry. An entry that is both added and withdrawn would
+     * be ambiguous: the result would depend on the processing order.
+     */
+    private registerMention<T, C>(delta: SectionDelta<T, C>, part: string, index: number, key: string): boolean {
         const name = `${delta.noun}/${key}`;
         if (this.places.has(name)) {
             this.report(core.messages.NoteDuplicate, [part, delta.section, index], delta.noun, key);
@@ -149,8 +158,8 @@
         return true;
     }
 
-    private require<T, C>(
-        delta: Delta<T, C>,
+    private requirePresent<T, C>(
+        delta: SectionDelta<T, C>,
         part: string,
         index: number,
         key: string,
@@ -171,7 +180,7 @@
     added: readonly T[],
     changed: readonly Named[],
     withdrawn: readonly string[],
-): Pick<Delta<T, Named>, "getKey" | "added" | "changed" | "getChangedKey" | "applyChange" | "withdrawn"> {
+): Pick<SectionDelta<T, Named>, "getKey" | "added" | "changed" | "getChangedKey" | "applyChange" | "withdrawn"> {
     return {
         getKey: value => value.id,
         added,
@@ -182,14 +191,14 @@
     };
 }
 
-/** Takes over what the change names; a field that it leaves out keeps its value. */
+/** Applies the fields that the change defines; the other fields keep their values. */
 function applyDefined<T extends object>(value: T, change: object): T {
     const named = Object.entries(change).filter(([, field]) => field !== undefined);
     return { ...value, ...Object.fromEntries(named) };
 }
 
-/** The adapters of a withdrawn model go with it. */
-function getKeptAdapters(base: core.FleetDescription, note: noteSchema.Note): readonly PlacedAdapter[] {
+/** Returns the existing adapters without those of withdrawn models, which are withdrawn with their model. */
+function getKeptAdapters(base: core.FleetDescription, note: noteSchema.Note): readonly ModelAdapter[] {
     return base.models
         .filter(model => !note.withdrawn.models.includes(model.id))
         .flatMap(model => model.adapters.map(adapter => ({ ...adapter, model: model.id })));
@@ -199,13 +208,17 @@
     return `${adapter.model}/${adapter.id}`;
 }
 
-function getAdaptersOf(model: core.ModelId, adapters: readonly PlacedAdapter[]): readonly core.AdapterDescription[] {
+function getAdaptersOf(model: core.ModelId, adapters: readonly ModelAdapter[]): readonly core.AdapterDescription[] {
     return adapters
         .filter(adapter => adapter.model === model)
         .map(adapter => ({ id: adapter.id, version: adapter.version }));
 }
 
-function reportStrayAdapters(adapters: readonly PlacedAdapter[], fleet: core.FleetDescription, merger: Merger): void {
+function reportAdaptersOfUnknownModels(
+    adapters: readonly ModelAdapter[],
+    fleet: core.FleetDescription,
+    merger: Merger,
+): void {
     const models = new Set(fleet.models.map(model => model.id));
     for (const adapter of adapters.filter(candidate => !models.has(candidate.model))) {
         const path = merger.places.get(`adapter/${getAdapterKey(adapter)}`) ?? [];
--- a/packages/release/src/noteSchema.ts
+++ b/packages/release/src/noteSchema.ts
@@ -2,8 +2,8 @@
 import * as zod from "zod";
 
 /**
- * The shape of a release note as operators write it. A note lists what is added, changed and withdrawn; the checker
- * puts it upon the fleet that the note before it described. docs/release-note.schema.json is generated from here.
+ * The schema of a release note as operators write it. A note lists what is added, changed and withdrawn; the checker
+ * applies it to the fleet that the previous note described. docs/release-note.schema.json is generated from here.
  */
 
 const name = zod
@@ -15,8 +15,10 @@
 const model = zod.strictObject({
     id: name,
     version,
-    onlineFloor: floor.default(0).describe("Fewest upstreams that serve the model online while a rollout goes on."),
-    batchFloor: floor.default(0).describe("Fewest upstreams that serve the model's batch work during a rollout."),
+    onlineFloor: floor.default(0).describe("Minimum number of upstreams that serve the model online during a rollout."),
+    batchFloor: floor
+        .default(0)
+        .describe("Minimum number of upstreams that serve the model's batch work during a rollout."),
 });
 
 const adapter = zod.strictObject({ model: name, id: name, version });
@@ -27,17 +29,27 @@
     url: zod.url({ protocol: /^https?$/ }),
     dataCentre: name,
     role: zod.enum(core.UpstreamRole).default(core.UpstreamRole.Mixed),
-    models: zod.array(name).default([]).describe("Models that an engine holds; none for a plain service."),
-    checksFencing: zod.boolean().default(false).describe("Whether the upstream refuses an order with an old number."),
-    concurrency: zod.int().min(1).max(100_000).default(16).describe("Requests that it may run at once."),
-    isLeaving: zod.boolean().default(false).describe("True: it takes no new work and what it runs ends."),
+    models: zod.array(name).default([]).describe("Models that the engine holds; none for a plain service."),
+    checksFencing: zod
+        .boolean()
+        .default(false)
+        .describe("Whether the upstream rejects orders with an outdated fencing number."),
+    concurrency: zod.int().min(1).max(100_000).default(16).describe("Maximum number of concurrent requests."),
+    isLeaving: zod
+        .boolean()
+        .default(false)
+        .describe("If true, the upstream gets no new requests; running requests may finish."),
 });
 
 const route = zod.strictObject({
     method: zod.string().regex(/^([A-Z]+|\*)$/, "an HTTP method in capitals, or '*'"),
     path: zod.string().startsWith("/"),
     safety: zod.enum(core.CallSafety),
-    askPath: zod.string().startsWith("/").optional().describe("Path that tells a key's outcome; '{key}' is replaced."),
+    askPath: zod
+        .string()
+        .startsWith("/")
+        .optional()
+        .describe("Path that returns the outcome of a call by its idempotency key, which replaces '{key}'."),
     settleMilliseconds: zod
         .number()
         .int()
@@ -45,7 +57,7 @@
         .max(60_000)
         .optional()
         .describe(
-            "Longest time after which a call that arrived can still begin to run; allows a denied one to be resent.",
+            "Longest delay between the arrival of a call and its start. A call is sent again once the service has reported for this long that it did not run.",
         ),
 });
 
@@ -57,7 +69,10 @@
     weight: zod.number().positive().max(1_000).default(1),
 });
 
-/** A default would silently undo what an earlier note set, so every field of a change but its name is optional. */
+/**
+ * Every field of a change except its identifier is optional and has no default, since a default would silently undo
+ * what an earlier note set.
+ */
 const changed = zod.strictObject({
     models: zod
         .array(
@@ -123,7 +138,12 @@
 const milliseconds = zod.int().min(1);
 
 const policy = zod.strictObject({
-    batchWeight: zod.number().min(0).max(1).optional().describe("0: online latency first; 1: batch counts as much."),
+    batchWeight: zod
+        .number()
+        .min(0)
+        .max(1)
+        .optional()
+        .describe("Weight of batch work against online work. 0: online latency comes first; 1: both count the same."),
     retentionMilliseconds: milliseconds.optional(),
     onlineDeadlineMilliseconds: milliseconds.optional(),
     batchDeadlineMilliseconds: milliseconds.optional(),
@@ -131,10 +151,10 @@
 });
 
 const weightStore = zod.strictObject({
-    concurrentLoads: zod.int().min(1).max(10_000).describe("Loads that may run at once over the whole fleet."),
+    concurrentLoads: zod.int().min(1).max(10_000).describe("Maximum number of concurrent loads over the whole fleet."),
 });
 
-/** Every part may be left out. Defaults fill in what a first note does not say. */
+/** Every section is optional. A first note takes what it omits from the defaults below. */
 export const NoteSchema = zod.strictObject({
     added: added.prefault({}),
     changed: changed.prefault({}),
@@ -145,7 +165,7 @@
 
 export type Note = zod.output<typeof NoteSchema>;
 
-/** Settings of a fleet whose notes never named them. */
+/** Policy of a fleet whose notes never set one. */
 export const DefaultPolicy: core.FleetPolicy = {
     batchWeight: 0.3,
     retentionMilliseconds: 48 * 3_600_000,
@@ -156,7 +176,7 @@
 
 export const DefaultWeightStore: core.WeightStoreLimits = { concurrentLoads: 2 };
 
-/** The published JSON Schema of what an operator may write. */
+/** Returns the published JSON Schema of release notes, as operators write them. */
 export function createNoteJsonSchema(): Readonly<Record<string, unknown>> {
     return {
         title: "boragedale release note",
--- a/packages/release/src/noteStore.ts
+++ b/packages/release/src/noteStore.ts
@@ -3,13 +3,13 @@
 import * as zod from "zod";
 import type * as types from "./types.js";
 
-/** The one key whose compare-and-swap decides which note is in force. */
+/** The key of the note in force. A note comes into force by a compare-and-swap on this key. */
 export const CurrentNoteKey = "note/current";
 
 const HistoryPrefix = "note/history/";
 const GenerationDigits = 12;
 
-/** Most bytes that a stored note may unpack to; a damaged value must not exhaust the memory of every instance. */
+/** Limit of a decompressed note, in bytes. Without it a damaged value could exhaust the memory of every instance. */
 const MaximumUnpackedBytes = 16_000_000;
 
 const FleetSchema = zod.object({
@@ -80,13 +80,16 @@
     nonce: zod.string(),
 });
 
-/** What is kept of a note once another one has replaced it. */
+/** A history entry as it is stored, with the note's source and nonce. */
 export interface HistoryRecord extends types.HistoryEntry {
     readonly source: string;
     readonly nonce: string;
 }
 
-/** Key of one generation's record; padded, so that the service's byte order is the order of the generations. */
+/**
+ * Returns the key of a generation's history record. The number is padded, so that the service lists the keys in the
+ * order of the generations.
+ */
 export function getHistoryKey(generation: core.Generation): string {
     return HistoryPrefix + String(generation).padStart(GenerationDigits, "0");
 }
@@ -95,12 +98,15 @@
     return HistoryPrefix;
 }
 
-/** Packs a note. Thousands of callers with their token hashes would not fit one value as plain text. */
+/**
+ * Serializes and compresses a note. Uncompressed, a note with thousands of callers and their token hashes would exceed
+ * the size of one value.
+ */
 export function encodeNote(note: core.NoteInForce): Uint8Array {
     return pack(note);
 }
 
-/** Returns undefined for a value that is damaged or of another shape. */
+/** Returns undefined for a value that is damaged or doesn't match the schema. */
 export function tryDecodeNote(value: Uint8Array): core.NoteInForce | undefined {
     return tryParse(value, NoteInForceSchema);
 }
@@ -113,7 +119,7 @@
     return tryParse(value, HistorySchema);
 }
 
-/** The note of a peer's reply, checked like a stored one: a peer of another version may send another shape. */
+/** Validates the note in a peer's reply. A peer that runs another version may send a note of another shape. */
 export function tryReadNote(value: unknown): core.NoteInForce | undefined {
     return NoteInForceSchema.safeParse(value).data;
 }
--- a/packages/release/src/rolloutAudit.ts
+++ b/packages/release/src/rolloutAudit.ts
@@ -14,37 +14,38 @@
     readonly clock: core.Clock;
 }
 
-const AuditMilliseconds = 5_000;
-const AuditDuty = "rollout/outcome";
+const AuditIntervalMilliseconds = 5_000;
+const AuditAssignment = "rollout/outcome";
 
 /**
- * Writes into the history when the whole fleet had reached a note. One instance at a time does so; that two may do it
- * for a while is harmless, since the first to write wins. It stops at the first engine that is not there yet and begins
- * with it the next time, so a long rollout costs one small read each 5 s and not one an engine.
+ * Records in the history when the whole fleet had reached a note. One instance holds this assignment. If two hold it
+ * for a while, the first write wins, so no harm is done. Each round stops at the first engine that has not reached the
+ * note, and the next round starts with that engine, so that a long rollout costs one small read every 5 s instead of
+ * one for each engine.
  */
 export class RolloutAudit implements AsyncDisposable {
-    private readonly stopper = new AbortController();
+    private readonly abortController = new AbortController();
     private readonly task: Promise<void>;
-    private recorded: core.Generation = 0;
-    private late: core.UpstreamId | undefined;
+    private recordedGeneration: core.Generation = 0;
+    private unreachedEngine: core.UpstreamId | undefined;
 
     constructor(private readonly options: AuditOptions) {
         this.task = this.run();
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
-        this.stopper.abort();
+        this.abortController.abort();
         await this.task;
     }
 
     private async run(): Promise<void> {
         const { clock, keeper, membership } = this.options;
-        const signal = this.stopper.signal;
+        const signal = this.abortController.signal;
         while (!signal.aborted) {
-            await clock.sleep(AuditMilliseconds, signal);
+            await clock.sleep(AuditIntervalMilliseconds, signal);
             const note = keeper.tryGetNote();
-            const isHolder = membership.tryGetHolder(AuditDuty) === membership.getSelf();
-            if (note !== undefined && isHolder && note.generation > this.recorded && !signal.aborted) {
+            const isHolder = membership.tryGetHolder(AuditAssignment) === membership.getSelf();
+            if (note !== undefined && isHolder && note.generation > this.recordedGeneration && !signal.aborted) {
                 await this.audit(note);
             }
         }
@@ -54,10 +55,10 @@
         const engines = note.fleet.upstreams.filter(
             upstream => upstream.kind === core.UpstreamKind.Engine && !upstream.isLeaving,
         );
-        const late = engines.find(engine => engine.id === this.late);
-        for (const engine of late === undefined ? engines : [late, ...engines]) {
+        const unreached = engines.find(engine => engine.id === this.unreachedEngine);
+        for (const engine of unreached === undefined ? engines : [unreached, ...engines]) {
             if (!(await this.isReached(note, engine))) {
-                this.late = engine.id;
+                this.unreachedEngine = engine.id;
                 return;
             }
         }
@@ -76,7 +77,7 @@
         const record =
             entry.ok && entry.value !== undefined ? noteStore.tryDecodeHistory(entry.value.value) : undefined;
         if (!entry.ok || entry.value === undefined || record === undefined) {
-            // The publisher has not written its record yet, or the service is down: the next round tries again.
+            // The publisher has not written its record yet, or the service is unavailable. The next round tries again.
             return;
         }
         if (record.reachedAt === undefined) {
@@ -90,6 +91,6 @@
                 return;
             }
         }
-        this.recorded = note.generation;
+        this.recordedGeneration = note.generation;
     }
 }
--- a/packages/release/src/rolloutClaimant.ts
+++ b/packages/release/src/rolloutClaimant.ts
@@ -4,7 +4,7 @@
 import type * as upstreams from "@boragedale/upstreams";
 import * as rolloutClaims from "./rolloutClaims.js";
 import * as rolloutPlan from "./rolloutPlan.js";
-import type * as tenures from "./tenure.js";
+import type * as upstreamAssignment from "./upstreamAssignment.js";
 
 export interface ClaimantOptions {
     readonly membership: protocol.Membership;
@@ -13,7 +13,7 @@
     readonly clock: core.Clock;
 }
 
-/** Takes, renews and gives up the claims of the upstreams whose home this instance is. */
+/** Acquires, renews and releases the claims of the upstreams that this instance coordinates. */
 export class RolloutClaimant implements AsyncDisposable {
     private readonly claims: rolloutClaims.ClaimStore;
 
@@ -29,37 +29,39 @@
     }
 
     /**
-     * Takes over the claim that another home left, wherever the upstream stands. An instance that lost the duty but
-     * lives on keeps its lease alive, so a claim that nobody took over would hold its place for ever.
+     * Takes over the claim that a previous coordinator left, whatever the state of the upstream. A live instance that
+     * lost the assignment still renews its lease, so without a takeover its claim would count against the load limit
+     * indefinitely.
      */
-    async takeOver(tenure: tenures.Tenure, note: core.NoteInForce): Promise<void> {
+    async takeOver(assignment: upstreamAssignment.UpstreamAssignment, note: core.NoteInForce): Promise<void> {
         const claims = await this.claims.tryList();
-        const left = claims?.find(claim => claim.upstream === tenure.upstream);
-        if (left === undefined || !this.mayReplace(tenure, left, note)) {
+        const abandoned = claims?.find(claim => claim.upstream === assignment.upstream);
+        if (abandoned === undefined || !this.canReplace(assignment, abandoned, note)) {
             return;
         }
-        const claim = await this.claims.tryWrite({ ...left, generation: note.generation, replaces: left });
-        this.hold(tenure, claim);
+        const claim = await this.claims.tryWrite({ ...abandoned, generation: note.generation, replaces: abandoned });
+        this.setClaim(assignment, claim);
     }
 
     /**
-     * Asks for leave to change the upstream; returns why it can't be had now. A look before the write saves a write
-     * and a delete in each round while others are at work; what counts is the look after it.
+     * Claims the right to change the upstream; returns the reason if that isn't possible now. The check before the
+     * write only saves a write and a delete in each round while other upstreams are changing; the check after the write
+     * decides.
      */
     async tryClaim(
-        tenure: tenures.Tenure,
+        assignment: upstreamAssignment.UpstreamAssignment,
         note: core.NoteInForce,
         needsLoad: boolean,
         state: upstreams.UpstreamState | undefined,
     ): Promise<string | undefined> {
-        const unanswered = "the key-value service does not answer";
+        const noAnswerReason = "the key-value service does not answer";
         const before = await this.claims.tryList();
-        const { upstream } = tenure;
+        const { upstream } = assignment;
         const replaces = before?.find(claim => claim.upstream === upstream);
         if (before === undefined || state === undefined) {
-            return unanswered;
+            return noAnswerReason;
         }
-        if (replaces !== undefined && !this.mayReplace(tenure, replaces, note)) {
+        if (replaces !== undefined && !this.canReplace(assignment, replaces, note)) {
             return `${replaces.instance} is changing it under generation ${replaces.generation}`;
         }
         const { generation } = note;
@@ -71,53 +73,64 @@
         }
         const claim = await this.claims.tryWrite({ upstream, generation, needsLoad, replaces });
         if (claim === undefined) {
-            return unanswered;
+            return noAnswerReason;
         }
         const after = await this.claims.tryList();
-        const obstacle = after === undefined ? unanswered : await this.tryGetObstacle(note, claim, after, state);
-        this.hold(tenure, claim);
+        const obstacle = after === undefined ? noAnswerReason : await this.tryGetObstacle(note, claim, after, state);
+        this.setClaim(assignment, claim);
         if (obstacle !== undefined) {
-            await this.release(tenure);
+            await this.release(assignment);
         }
         return obstacle;
     }
 
-    /** Writes the claim anew, for a fencing number of its own; undefined when another home took it over. */
-    async renew(tenure: tenures.Tenure, note: core.NoteInForce): Promise<rolloutClaims.Claim | undefined> {
-        const held = core.Debug.checkDefined(tenure.claim, "an order has a claim");
+    /**
+     * Rewrites the claim to get a new fencing number; returns undefined when another coordinator took the claim over or
+     * the service does not answer.
+     */
+    async renew(
+        assignment: upstreamAssignment.UpstreamAssignment,
+        note: core.NoteInForce,
+    ): Promise<rolloutClaims.Claim | undefined> {
+        const held = core.Debug.checkDefined(assignment.claim, "an order has a claim");
         const renewed = await this.claims.tryWrite({ ...held, generation: note.generation, replaces: held });
         if (renewed === undefined) {
-            this.drop(tenure);
+            this.clearClaim(assignment);
             return undefined;
         }
-        tenure.claim = renewed;
+        assignment.claim = renewed;
         return renewed;
     }
 
-    /** Gives the claim up; one that could not be removed stays for the next try. */
-    async release(tenure: tenures.Tenure): Promise<void> {
-        if (tenure.claim !== undefined && (await this.claims.remove(tenure.claim))) {
-            this.drop(tenure);
+    /** Releases the claim. A claim that could not be removed is kept, so that the next call tries again. */
+    async release(assignment: upstreamAssignment.UpstreamAssignment): Promise<void> {
+        if (assignment.claim !== undefined && (await this.claims.remove(assignment.claim))) {
+            this.clearClaim(assignment);
         }
     }
 
-    /** Forgets the claim, whoever holds it now. */
-    drop(tenure: tenures.Tenure): void {
-        this.claims.forget(tenure.upstream);
-        tenure.claim = undefined;
-        tenure.claimedSince = undefined;
+    /** Clears the local state of the claim without removing it from the key-value service. */
+    clearClaim(assignment: upstreamAssignment.UpstreamAssignment): void {
+        this.claims.stopTracking(assignment.upstream);
+        assignment.claim = undefined;
+        assignment.claimedSince = undefined;
     }
 
     /**
-     * A claim made under a newer note belongs to a home that knows more. One of a home that is still live may be in
-     * the middle of an order; it is taken over only once that order must have ended.
+     * Whether this instance may replace another claim. A claim under a newer note belongs to a coordinator with newer
+     * information and stays. The holder of a claim, if it is live, may be sending an order, so its claim is only
+     * replaced after the longest duration of an order.
      */
-    private mayReplace(tenure: tenures.Tenure, claim: rolloutClaims.Claim, note: core.NoteInForce): boolean {
+    private canReplace(
+        assignment: upstreamAssignment.UpstreamAssignment,
+        claim: rolloutClaims.Claim,
+        note: core.NoteInForce,
+    ): boolean {
         const { membership, clock } = this.options;
         const isOwn = claim.instance === membership.getSelf();
         const isHolderLive = membership.getLiveInstances().some(instance => instance.id === claim.instance);
-        const isWaitedOut = clock.now() - tenure.homeSince >= this.limits.longestOrderMilliseconds;
-        return claim.generation <= note.generation && (isOwn || !isHolderLive || isWaitedOut);
+        const isOrderTimeOver = clock.now() - assignment.coordinatorSince >= this.limits.longestOrderMilliseconds;
+        return claim.generation <= note.generation && (isOwn || !isHolderLive || isOrderTimeOver);
     }
 
     private async tryGetObstacle(
@@ -143,12 +156,12 @@
         return rolloutPlan.tryGetObstacle({ fleet: note.fleet, claim, claims, state, others });
     }
 
-    private hold(tenure: tenures.Tenure, claim: rolloutClaims.Claim | undefined): void {
+    private setClaim(assignment: upstreamAssignment.UpstreamAssignment, claim: rolloutClaims.Claim | undefined): void {
         if (claim === undefined) {
-            this.drop(tenure);
+            this.clearClaim(assignment);
             return;
         }
-        tenure.claim = claim;
-        tenure.claimedSince = this.options.clock.now();
+        assignment.claim = claim;
+        assignment.claimedSince = this.options.clock.now();
     }
 }
--- a/packages/release/src/rolloutClaims.ts
+++ b/packages/release/src/rolloutClaims.ts
@@ -5,22 +5,24 @@
 import * as noteStore from "./noteStore.js";
 
 /**
- * Claims of upstreams that are being changed, kept in the key-value service beside the note, so that one watch tells
- * an instance of both. A claim is the one place where homes agree: it counts against the weight store's rate and
- * against the floors, its revision is the fencing number of the order, and its lease frees it when its home is gone.
+ * Claims of upstreams that are being changed. They are stored under the key of the note in force, so that one watch
+ * covers both. Coordinators synchronise through claims only: a claim counts against the weight store's load limit and
+ * the models' floors, its revision is the fencing number of the order, and its lease removes it when its coordinator
+ * fails.
  */
 export const ClaimPrefix = `${noteStore.CurrentNoteKey}/claims/`;
 
-/** More than the weight store's rate would ever let run at once. */
-export const MostClaims = 2_000;
+/** Limit of one list of claims; more than the weight store's load limit ever admits at once. */
+export const MaximumClaims = 2_000;
 
 /**
- * A lease outlives the takeover of a dead home's upstream (10 s of suspicion and a reading of the list) and a pause of
- * 30 s. Were it shorter, the claim of an upstream that still loads would lapse and the rate would be overrun.
+ * A lease outlasts the takeover of a failed coordinator's upstream (10 s of suspicion and one read of the list) and a
+ * pause of 30 s. With a shorter lease the claim of an upstream that still loads could expire, and too many loads would
+ * run.
  */
 const LeaseMilliseconds = 45_000;
-const KeepAliveMilliseconds = 10_000;
-/** A lease is not relied on in its last seconds: the service's clock and ours run apart. */
+const KeepAliveIntervalMilliseconds = 10_000;
+/** A lease counts as expired this long before its end, since the clocks of the service and the instance drift apart. */
 const LeaseMarginMilliseconds = 5_000;
 
 const ClaimSchema = zod.object({
@@ -28,7 +30,7 @@
     instance: zod.string(),
     generation: zod.int(),
     needsLoad: zod.boolean(),
-    /** The revision that the first claim was written at; absent in that first one. */
+    /** The revision at which the first claim was written; absent in the first claim itself. */
     order: zod.number().optional(),
     nonce: zod.string(),
 });
@@ -36,13 +38,13 @@
 export interface Claim {
     readonly upstream: core.UpstreamId;
     readonly instance: core.InstanceId;
-    /** Generation of the note that its home worked on. */
+    /** Generation of the note that the coordinator was rolling out. */
     readonly generation: core.Generation;
     /** Whether the change reads from the weight store. */
     readonly needsLoad: boolean;
-    /** Earlier claims go first; a takeover keeps the place. */
+    /** Position among the claims: earlier claims take precedence. A takeover keeps the position. */
     readonly order: number;
-    /** Revision of the last write, which is the fencing number of an order under this claim. */
+    /** Revision of the last write; the fencing number of an order under this claim. */
     readonly revision: backing.Revision;
 }
 
@@ -50,7 +52,7 @@
     readonly upstream: core.UpstreamId;
     readonly generation: core.Generation;
     readonly needsLoad: boolean;
-    /** The claim to replace, this instance's own or that of a home that is gone. */
+    /** The claim to replace: this instance's own, or that of a previous coordinator. */
     readonly replaces: Claim | undefined;
 }
 
@@ -65,35 +67,38 @@
     }
 }
 
-/** Writes and reads claims for one instance, under one lease that it keeps alive while it holds any. */
+/**
+ * Reads and writes the claims of one instance. All of them share one lease, which is kept alive while the instance
+ * holds a claim.
+ */
 export class ClaimStore implements AsyncDisposable {
     private lease: backing.LeaseId | undefined;
     private leaseValidUntil: core.MonotonicMilliseconds = 0;
-    /** Upstreams whose claims rest on the lease; without any it is let lapse, since renewals count as calls. */
-    private readonly held = new Set<core.UpstreamId>();
-    private granting: Promise<backing.LeaseId | undefined> | undefined;
-    private readonly stopper = new AbortController();
-    private readonly task: Promise<void>;
+    /** Upstreams whose claims depend on the lease. Without any the lease may expire, since renewals count as calls. */
+    private readonly claimedUpstreams = new Set<core.UpstreamId>();
+    private pendingGrant: Promise<backing.LeaseId | undefined> | undefined;
+    private readonly abortController = new AbortController();
+    private readonly keepAliveTask: Promise<void>;
 
     constructor(
         private readonly keyValue: backing.KeyValueService,
         private readonly clock: core.Clock,
         private readonly instance: core.InstanceId,
     ) {
-        this.task = this.runKeepAlive();
+        this.keepAliveTask = this.runKeepAlive();
     }
 
-    /** All claims of the fleet, or undefined when the service does not answer. */
+    /** Lists all claims of the fleet; returns undefined when the service does not answer. */
     async tryList(): Promise<readonly Claim[] | undefined> {
         const result = await this.keyValue.list({
             prefix: ClaimPrefix,
-            limit: MostClaims,
+            limit: MaximumClaims,
             purpose: backing.CallPurpose.Claim,
         });
         return result.ok ? result.value.flatMap(entry => tryDecodeClaim(entry) ?? []) : undefined;
     }
 
-    /** Writes a claim; undefined when another home was first or the service does not answer. */
+    /** Writes a claim; returns undefined when another coordinator wrote first or the service does not answer. */
     async tryWrite(request: ClaimRequest): Promise<Claim | undefined> {
         const lease = await this.tryGetLease();
         if (lease === undefined) {
@@ -111,14 +116,16 @@
             lease,
             purpose: backing.CallPurpose.Claim,
         });
-        this.held.add(upstream);
+        this.claimedUpstreams.add(upstream);
         if (result.ok) {
             return result.value.swapped ? createClaim(stored, result.value.revision) : undefined;
         }
         return result.failure.kind === backing.KeyValueFailureKind.ReplyLost ? this.readBack(key, nonce) : undefined;
     }
 
-    /** Removes a claim; one that another home took over meanwhile stays. */
+    /**
+     * Removes a claim, unless another coordinator has taken it over meanwhile. Returns whether the service answered.
+     */
     async remove(claim: Claim): Promise<boolean> {
         const result = await this.keyValue.compareAndSwap({
             key: ClaimPrefix + claim.upstream,
@@ -127,27 +134,29 @@
             purpose: backing.CallPurpose.Claim,
         });
         if (result.ok) {
-            this.forget(claim.upstream);
+            this.stopTracking(claim.upstream);
         }
         return result.ok;
     }
 
-    /** Leaves a claim to the next home: it no longer keeps the lease alive. */
-    forget(upstream: core.UpstreamId): void {
-        this.held.delete(upstream);
+    /** Stops renewing the lease on behalf of the upstream's claim. The claim itself stays in the key-value service. */
+    stopTracking(upstream: core.UpstreamId): void {
+        this.claimedUpstreams.delete(upstream);
     }
 
-    /** Whether this instance's claims surely still stand, as far as a clock can tell. */
+    /** Whether the lease, and with it this instance's claims, is still valid by the local clock. */
     isLeaseValid(): boolean {
         return this.lease !== undefined && this.clock.now() < this.leaseValidUntil;
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
-        this.stopper.abort();
-        await this.task;
+        this.abortController.abort();
+        await this.keepAliveTask;
     }
 
-    /** The reply was lost: the nonce tells whether the entry that stands now is the one that was written. */
+    /**
+     * Reads the claim back after a lost reply; the nonce shows whether the stored entry is the one that was written.
+     */
     private async readBack(key: string, nonce: string): Promise<Claim | undefined> {
         const result = await this.keyValue.get(key, backing.CallPurpose.Claim);
         if (!result.ok || result.value === undefined) {
@@ -161,13 +170,13 @@
         if (this.isLeaseValid()) {
             return this.lease;
         }
-        this.granting ??= this.grant().finally(() => {
-            this.granting = undefined;
+        this.pendingGrant ??= this.requestLease().finally(() => {
+            this.pendingGrant = undefined;
         });
-        return this.granting;
+        return this.pendingGrant;
     }
 
-    private async grant(): Promise<backing.LeaseId | undefined> {
+    private async requestLease(): Promise<backing.LeaseId | undefined> {
         const askedAt = this.clock.now();
         const result = await this.keyValue.grantLease(LeaseMilliseconds);
         this.lease = result.ok ? result.value : undefined;
@@ -176,10 +185,10 @@
     }
 
     private async runKeepAlive(): Promise<void> {
-        const signal = this.stopper.signal;
+        const signal = this.abortController.signal;
         while (!signal.aborted) {
-            await this.clock.sleep(KeepAliveMilliseconds, signal);
-            if (this.lease !== undefined && this.held.size > 0 && !signal.aborted) {
+            await this.clock.sleep(KeepAliveIntervalMilliseconds, signal);
+            if (this.lease !== undefined && this.claimedUpstreams.size > 0 && !signal.aborted) {
                 await this.keepAlive(this.lease);
             }
         }
--- a/packages/release/src/rolloutPlan.ts
+++ b/packages/release/src/rolloutPlan.ts
@@ -6,22 +6,31 @@
 import * as types from "./types.js";
 
 /**
- * What to do next with one upstream. Pure: it goes by what the upstream reports now and by times that are passed in,
- * never by remembered progress, so that a home which starts in the middle decides like the one before it.
+ * Decides the next step of the rollout for one upstream. The decision is a pure function of the upstream's current
+ * report and of times that are passed in, and doesn't depend on stored progress, so that a coordinator that takes over
+ * midway decides like its predecessor.
  */
 
 export interface RolloutLimits {
-    /** Longest time from sending an order to its last effect at an upstream that does not check fencing numbers. */
+    /** Longest time between sending an order and its last effect on an upstream that does not check fencing numbers. */
     readonly longestOrderMilliseconds: number;
-    /** An upstream's report lags: only after this long does a report without the order's effect mean that it failed. */
-    readonly settleMilliseconds: number;
-    /** A load that takes longer is wedged; its claim is given up so that it does not hold up the others. */
-    readonly loadMilliseconds: number;
-    /** An upstream under a claim that can't be reached for longer gives its claim up. */
-    readonly unreachableMilliseconds: number;
-    /** Time for every instance to hear of a claim and send no new work. */
-    readonly noticeMilliseconds: number;
-    /** Longest wait for running requests to end before an order; engines can resume what is cut then. */
+    /**
+     * Longest lag of an upstream's report. After this time, a report that doesn't show the effect of an order means
+     * that the order failed.
+     */
+    readonly reportLagMilliseconds: number;
+    /**
+     * A load that takes longer is considered stuck. Its claim is released, so that it doesn't block other upstreams.
+     */
+    readonly loadTimeoutMilliseconds: number;
+    /** The claim of an upstream that has been unreachable for longer is released. */
+    readonly unreachableTimeoutMilliseconds: number;
+    /** Time until every instance knows about a claim and sends the upstream no new requests. */
+    readonly propagationMilliseconds: number;
+    /**
+     * Longest wait for running requests to finish before an order. Requests that are still running then are
+     * interrupted; engines can resume them.
+     */
     readonly drainMilliseconds: number;
     readonly firstRetryMilliseconds: number;
     readonly longestRetryMilliseconds: number;
@@ -29,58 +38,60 @@
 
 export const DefaultLimits: RolloutLimits = {
     longestOrderMilliseconds: 5_000,
-    settleMilliseconds: 5_000,
-    loadMilliseconds: 900_000,
-    unreachableMilliseconds: 30_000,
-    noticeMilliseconds: 1_000,
+    reportLagMilliseconds: 5_000,
+    loadTimeoutMilliseconds: 900_000,
+    unreachableTimeoutMilliseconds: 30_000,
+    propagationMilliseconds: 1_000,
     drainMilliseconds: 120_000,
     firstRetryMilliseconds: 5_000,
     longestRetryMilliseconds: 300_000,
 };
 
-/** The state that the note asks of an engine. */
+/** The state of an engine that the note requires. */
 export interface Target {
     readonly models: readonly upstreams.HeldModel[];
     readonly role: core.UpstreamRole;
 }
 
-/** An order that this home sent. */
+/** An order that this coordinator sent. */
 export interface SentOrder {
     readonly at: core.MonotonicMilliseconds;
-    /** `formatTarget` of what it asked. */
-    readonly target: string;
+    /** The ordered target, as formatted by `formatTarget`. */
+    readonly targetText: string;
 }
 
-/** All that the next step depends on. */
+/** Everything that the next step depends on. */
 export interface UpstreamView {
     readonly now: core.MonotonicMilliseconds;
     readonly target: Target;
-    /** The upstream's own report; undefined when it could not be read. */
+    /** The upstream's report; undefined when it could not be read. */
     readonly state: upstreams.UpstreamState | undefined;
     readonly load: upstreams.LoadReport | undefined;
     readonly checksFencing: boolean;
-    /** The note wants it to take no new work. */
+    /** Whether the note marks the upstream as leaving, so that it gets no new requests. */
     readonly isLeaving: boolean;
-    readonly homeSince: core.MonotonicMilliseconds;
+    readonly coordinatorSince: core.MonotonicMilliseconds;
     readonly unreachableSince: core.MonotonicMilliseconds | undefined;
     readonly loadingSince: core.MonotonicMilliseconds | undefined;
     readonly claimedSince: core.MonotonicMilliseconds | undefined;
     readonly lastOrder: SentOrder | undefined;
-    /** After a failure: when it may be tried again, and what was wrong. */
+    /** Time of the next attempt after a failure. */
     readonly retryAt: core.MonotonicMilliseconds | undefined;
+    /** Reason of the last failure. */
     readonly failure: string;
     readonly limits: RolloutLimits;
 }
 
 export enum StepKind {
-    /** The upstream is where it should be: give up the claim. */
+    /** The upstream has reached its target: release the claim. */
     Rest = "Rest",
-    /** Nothing to do but look again. */
+    /** Nothing to do; read the report again later. */
     Observe = "Observe",
-    /** Ask the fleet for leave to change the upstream. */
+    /** Acquire a claim for the upstream. */
     Claim = "Claim",
+    /** Send the order to change the upstream. */
     Order = "Order",
-    /** Give up the claim, report, and try again later. */
+    /** Release the claim, report the reason, and try again later. */
     GiveUp = "GiveUp",
 }
 
@@ -96,7 +107,7 @@
     if (state === undefined) {
         return decideUnreachable(view);
     }
-    const isOutdatedOrder = view.lastOrder !== undefined && view.lastOrder.target !== formatTarget(target);
+    const isOutdatedOrder = view.lastOrder !== undefined && view.lastOrder.targetText !== formatTarget(target);
     if (state.isLoading && !isOutdatedOrder) {
         return decideLoading(view, state);
     }
@@ -111,7 +122,7 @@
 }
 
 export function reachesTarget(state: upstreams.UpstreamState, target: Target): boolean {
-    return state.role === target.role && noteDifferences.holdsSame(state.models, target.models);
+    return state.role === target.role && noteDifferences.holdsSameModels(state.models, target.models);
 }
 
 /** One line for operators, such as `heron@2.1+booking@4 (Mixed)`. */
@@ -120,55 +131,55 @@
     return `${models === "" ? "no model" : models} (${target.role})`;
 }
 
-/** Doubles from the first wait to the longest. */
-export function getRetryWait(failures: number, limits: RolloutLimits): number {
+/** Returns the delay after a number of failures; it doubles with each failure up to the longest delay. */
+export function getRetryDelayMilliseconds(failures: number, limits: RolloutLimits): number {
     const wait = limits.firstRetryMilliseconds * 2 ** Math.max(0, Math.min(failures - 1, 20));
     return Math.min(wait, limits.longestRetryMilliseconds);
 }
 
 function decideUnreachable(view: UpstreamView): Step {
-    const silentFor = view.unreachableSince === undefined ? 0 : view.now - view.unreachableSince;
-    const reason = `does not answer for ${Math.round(silentFor / 1_000)} s`;
+    const unreachableMilliseconds = view.unreachableSince === undefined ? 0 : view.now - view.unreachableSince;
+    const reason = `does not answer for ${Math.round(unreachableMilliseconds / 1_000)} s`;
     const phase = types.UpstreamPhase.Unreachable;
-    return view.claimedSince !== undefined && silentFor > view.limits.unreachableMilliseconds
+    return view.claimedSince !== undefined && unreachableMilliseconds > view.limits.unreachableTimeoutMilliseconds
         ? { kind: StepKind.GiveUp, phase, reason }
         : { kind: StepKind.Observe, phase, reason };
 }
 
 function decideLoading(view: UpstreamView, state: upstreams.UpstreamState): Step {
     if (view.retryAt !== undefined) {
-        return view.now < view.retryAt ? createFailed(view) : decideOrder(view, state);
+        return view.now < view.retryAt ? createRetryPending(view) : decideOrder(view, state);
     }
-    const loadingFor = view.loadingSince === undefined ? 0 : view.now - view.loadingSince;
-    const reason = `loads for ${Math.round(loadingFor / 1_000)} s`;
-    return loadingFor > view.limits.loadMilliseconds
+    const loadingMilliseconds = view.loadingSince === undefined ? 0 : view.now - view.loadingSince;
+    const reason = `loads for ${Math.round(loadingMilliseconds / 1_000)} s`;
+    return loadingMilliseconds > view.limits.loadTimeoutMilliseconds
         ? { kind: StepKind.GiveUp, phase: types.UpstreamPhase.Failed, reason }
         : { kind: StepKind.Observe, phase: types.UpstreamPhase.Loading, reason };
 }
 
 /**
- * An upstream that ignores fencing numbers may still be changed by a late order of an earlier home, so its state
- * counts only once such an order must have arrived.
+ * A late order of a previous coordinator may still change an upstream that ignores fencing numbers. The state of such
+ * an upstream is only trusted once any earlier order must have arrived.
  */
 function decideReached(view: UpstreamView): Step {
-    const quietSince = Math.max(view.homeSince, view.lastOrder?.at ?? view.homeSince);
-    if (view.checksFencing || view.now - quietSince >= view.limits.longestOrderMilliseconds) {
+    const lateOrdersPossibleSince = Math.max(view.coordinatorSince, view.lastOrder?.at ?? view.coordinatorSince);
+    if (view.checksFencing || view.now - lateOrdersPossibleSince >= view.limits.longestOrderMilliseconds) {
         return { kind: StepKind.Rest };
     }
-    return createObserve(types.UpstreamPhase.Waiting, "is as asked; late orders may still arrive");
+    return createObserve(types.UpstreamPhase.Waiting, "has reached its target, but late orders may still arrive");
 }
 
 function decideMismatch(view: UpstreamView, state: upstreams.UpstreamState, isOutdatedOrder: boolean): Step {
     if (view.lastOrder !== undefined && !isOutdatedOrder) {
-        const orderedFor = view.now - view.lastOrder.at;
-        if (orderedFor < view.limits.settleMilliseconds) {
+        const orderedMilliseconds = view.now - view.lastOrder.at;
+        if (orderedMilliseconds < view.limits.reportLagMilliseconds) {
             return createObserve(types.UpstreamPhase.Ordered, "ordered; not yet reported");
         }
         const reason = state.failure ?? `still reports ${formatTarget(state)} after the order`;
         return { kind: StepKind.GiveUp, phase: types.UpstreamPhase.Failed, reason };
     }
     if (view.retryAt !== undefined && view.now < view.retryAt) {
-        return createFailed(view);
+        return createRetryPending(view);
     }
     return decideOrder(view, state);
 }
@@ -177,19 +188,22 @@
     if (view.isLeaving || state.isLeaving) {
         return decideLeaving(view);
     }
-    if (!view.checksFencing && view.now - view.homeSince < view.limits.longestOrderMilliseconds) {
-        return createObserve(types.UpstreamPhase.Waiting, "waits out the orders of an earlier home");
+    if (!view.checksFencing && view.now - view.coordinatorSince < view.limits.longestOrderMilliseconds) {
+        return createObserve(types.UpstreamPhase.Waiting, "waits until orders of an earlier coordinator have expired");
     }
     if (view.claimedSince === undefined) {
         return { kind: StepKind.Claim, needsLoad: noteDifferences.needsLoad(state.models, view.target.models) };
     }
     if (!isDrained(view, state)) {
-        return createObserve(types.UpstreamPhase.Waiting, "waits until what it runs has ended");
+        return createObserve(types.UpstreamPhase.Waiting, "waits until running requests have finished");
     }
     return { kind: StepKind.Order };
 }
 
-/** Weights for an upstream that goes would cost the others their place at the weight store. */
+/**
+ * A leaving upstream gets no order, since its load would count against the weight store's load limit and delay other
+ * upstreams.
+ */
 function decideLeaving(view: UpstreamView): Step {
     const phase = types.UpstreamPhase.Waiting;
     const reason = "is leaving and takes no orders";
@@ -198,35 +212,35 @@
         : { kind: StepKind.GiveUp, phase, reason };
 }
 
-/** An order may end what the engine runs, so it waits until nothing runs; the claim keeps new work away. */
+/** An order may interrupt running requests, so it waits until there are none; the claim keeps new requests away. */
 function isDrained(view: UpstreamView, state: upstreams.UpstreamState): boolean {
     if (state.models.length === 0 || view.claimedSince === undefined) {
         return true;
     }
-    const claimedFor = view.now - view.claimedSince;
+    const claimAge = view.now - view.claimedSince;
     const isEmpty = view.load !== undefined && view.load.running + view.load.waiting === 0;
-    return (claimedFor >= view.limits.noticeMilliseconds && isEmpty) || claimedFor >= view.limits.drainMilliseconds;
+    return (claimAge >= view.limits.propagationMilliseconds && isEmpty) || claimAge >= view.limits.drainMilliseconds;
 }
 
 function createObserve(phase: types.UpstreamPhase, reason: string): Step {
     return { kind: StepKind.Observe, phase, reason };
 }
 
-function createFailed(view: UpstreamView): Step {
+function createRetryPending(view: UpstreamView): Step {
     const seconds = Math.round(((view.retryAt ?? view.now) - view.now) / 1_000);
     return createObserve(types.UpstreamPhase.Failed, `${view.failure}; next try in ${seconds} s`);
 }
 
-/** What one upstream that stays up serves, by its own report. */
+/** The report of an upstream other than the one to be changed. */
 export interface ServingReport {
     readonly upstream: core.UpstreamId;
     readonly state: upstreams.UpstreamState;
 }
 
-export interface AdmissionView {
+export interface ClaimAdmissionView {
     readonly fleet: core.FleetDescription;
     readonly claim: rolloutClaims.Claim;
-    /** Every claim, read after `claim` was written. */
+    /** All claims, read after `claim` was written. */
     readonly claims: readonly rolloutClaims.Claim[];
     readonly state: upstreams.UpstreamState;
     /** Reports of other upstreams, read after `claims`. */
@@ -234,16 +248,17 @@
 }
 
 /**
- * Whether a claim may go on. Of two claims that can't both stand the earlier one wins: the later was written after it
- * and so must see it, while the earlier need not see the later. Returns why not, or undefined.
+ * Returns why a claim has to be released, or undefined if its change may proceed. Of two conflicting claims the earlier
+ * one wins: the later one was written after it and is sure to see it, whereas the earlier one may not see the later
+ * one.
  */
-export function tryGetObstacle(view: AdmissionView): string | undefined {
+export function tryGetObstacle(view: ClaimAdmissionView): string | undefined {
     const loadObstacle = tryGetLoadObstacle(view.fleet, view.claim, view.claims, view.others);
     if (loadObstacle !== undefined) {
         return loadObstacle;
     }
     const changing = new Set(getEarlierClaims(view.fleet, view.claim, view.claims).map(other => other.upstream));
-    // An upstream that the note wants to leave takes no new work, whatever it still reports.
+    // An upstream that the note marks as leaving gets no new requests, whatever it reports.
     const leaving = new Set(view.fleet.upstreams.filter(upstream => upstream.isLeaving).map(upstream => upstream.id));
     const serving = view.others.filter(report => !changing.has(report.upstream) && !leaving.has(report.upstream));
     for (const model of view.fleet.models) {
@@ -258,8 +273,9 @@
 }
 
 /**
- * Why a load can't begin now. Counts the claims and, where reports are given, the engines that load without one: a
- * long outage ends every lease, and the first home to claim afterwards would not see the loads that went on.
+ * Returns why a load can't begin now, or undefined. Counts the earlier claims and, if reports are given, the engines
+ * that load without a claim: all leases expire in a long outage of the key-value service, and a claim made afterwards
+ * would not see the loads that are still running.
  */
 export function tryGetLoadObstacle(
     fleet: core.FleetDescription,
@@ -286,23 +302,23 @@
 }
 
 function tryGetFloorObstacle(
-    view: AdmissionView,
+    view: ClaimAdmissionView,
     serving: readonly ServingReport[],
     model: core.ModelDescription,
     requestClass: core.RequestClass,
     floor: number,
 ): string | undefined {
-    if (!servesModel(view.state, model.id, requestClass)) {
+    if (!isServingModel(view.state, model.id, requestClass)) {
         return undefined;
     }
-    const remaining = serving.filter(report => servesModel(report.state, model.id, requestClass)).length;
+    const remaining = serving.filter(report => isServingModel(report.state, model.id, requestClass)).length;
     return remaining >= floor
         ? undefined
         : `model '${model.id}' would be served by ${remaining} upstreams for ${requestClass}, under its floor of ${floor}`;
 }
 
-/** Whether an upstream serves a model now, at any version: an old version is capacity until it is replaced. */
-export function servesModel(
+/** Whether an upstream serves a model now, in any version. An old version counts as capacity until it is replaced. */
+export function isServingModel(
     state: upstreams.UpstreamState,
     model: core.ModelId,
     requestClass: core.RequestClass,
@@ -311,7 +327,7 @@
     return isUp && state.models.some(held => held.model === model);
 }
 
-/** The engines whose reports the floors and the weight store's rate depend on. */
+/** Returns the other engines, on whose reports the floors and the weight store's load limit depend. */
 export function getOtherEngines(
     fleet: core.FleetDescription,
     upstream: core.UpstreamId,
--- a/packages/release/src/services.ts
+++ b/packages/release/src/services.ts
@@ -3,20 +3,23 @@
 
 interface UsableFleet {
     readonly note: core.NoteInForce;
-    readonly changing: string;
+    readonly changingKey: string;
     readonly fleet: core.FleetDescription;
 }
 
-/** Keeps the note in force on this instance. Its generation never falls. */
+/** Caches the release note in force on this instance. The generation of the cached note never decreases. */
 export abstract class NoteKeeper implements AsyncDisposable {
     private usable: UsableFleet | undefined;
 
     abstract tryGetNote(): core.NoteInForce | undefined;
-    /** Calls `listener` for each note that comes into force here; the returned function stops it. */
+    /** Calls `listener` for each note that comes into force on this instance; the returned function unsubscribes it. */
     abstract onNote(listener: (note: core.NoteInForce) => void): () => void;
-    /** Whether the platform or a peer confirmed the note within the last seconds. */
+    /** Whether the key-value service or a peer has recently confirmed that this note is the newest. */
     abstract isConfirmed(): boolean;
-    /** Whether a rollout is about to change the upstream: it takes no new work, so that what it runs can end. */
+    /**
+     * Whether a rollout is changing the upstream. Such an upstream gets no new requests, so that running ones can
+     * finish.
+     */
     isChanging(upstream: core.UpstreamId): boolean {
         return this.getChangingUpstreams().has(upstream);
     }
@@ -25,8 +28,8 @@
         return new Set();
     }
     /**
-     * The fleet to route by: the note's, with the upstreams that a rollout is changing marked as leaving. The same
-     * object for as long as nothing changed.
+     * The fleet to route by: the note's fleet with the upstreams that a rollout is changing marked as leaving. Returns
+     * the same object until the note or the set of changing upstreams differs.
      */
     tryGetUsableFleet(): core.FleetDescription | undefined {
         const note = this.tryGetNote();
@@ -35,8 +38,8 @@
             return note?.fleet;
         }
         const key = [...changing].sort().join();
-        if (this.usable?.note !== note || this.usable.changing !== key) {
-            this.usable = { note, changing: key, fleet: markLeaving(note.fleet, changing) };
+        if (this.usable?.note !== note || this.usable.changingKey !== key) {
+            this.usable = { note, changingKey: key, fleet: markLeaving(note.fleet, changing) };
         }
         return this.usable.fleet;
     }
@@ -56,7 +59,7 @@
     abstract readHistory(): Promise<core.Outcome<readonly types.HistoryEntry[]>>;
 }
 
-/** Brings the upstreams whose home this instance is to the state that the note asks. */
+/** Brings the upstreams that this instance coordinates to the state that the note requires. */
 export abstract class Rollout implements AsyncDisposable {
     abstract getProgress(): readonly types.UpstreamProgress[];
     abstract [Symbol.asyncDispose](): Promise<void>;
--- a/packages/release/src/types.ts
+++ b/packages/release/src/types.ts
@@ -1,30 +1,31 @@
 import type * as core from "@boragedale/core";
 
-/** A release note that was read and checked, put upon the fleet that it changes. */
+/** A release note that was read, checked and applied to the fleet that it changes. */
 export interface CheckedNote {
     readonly source: string;
     readonly fleet: core.FleetDescription;
-    /** What changes, a line each, for operators to read before they publish. */
+    /** One line for each change, for operators to review before they publish. */
     readonly differences: readonly string[];
-    /** Upstreams that will be ordered to change. */
+    /** Upstreams that will receive an order to change. */
     readonly affectedUpstreams: readonly core.UpstreamId[];
+    /** Number of upstreams that have to read from the weight store. */
     readonly loads: number;
-    /** Loads one after the other on the longest way, as the weight store's rate and the floors allow at best. */
+    /** Lower bound of the number of sequential loads, given the weight store's load limit and the models' floors. */
     readonly rounds: number;
 }
 
 export interface PublishRequest {
     readonly source: string;
-    /** File name for the places of findings. */
+    /** File name that findings report with their line and column. */
     readonly file: string;
-    /** The generation that this note replaces; 0 for the first. */
+    /** The generation that this note replaces; 0 for the first note. */
     readonly replaces: core.Generation;
     readonly author: string;
 }
 
 export enum PublishKind {
     Published = "Published",
-    /** Another note was published first; it comes along. */
+    /** Another note was published first; the outcome contains it. */
     Conflict = "Conflict",
     Invalid = "Invalid",
     Unavailable = "Unavailable",
@@ -40,13 +41,13 @@
     | { readonly kind: PublishKind.Invalid; readonly findings: readonly core.Finding[] }
     | { readonly kind: PublishKind.Unavailable; readonly text: string };
 
-/** What became of a note. */
+/** How far the fleet got with a note. */
 export enum NoteOutcome {
-    /** In force; not every upstream is there yet. */
+    /** In force, but not every upstream has reached its state yet. */
     InProgress = "InProgress",
-    /** Every upstream reached it. */
+    /** Every upstream reached the state that the note requires. */
     Reached = "Reached",
-    /** Another note replaced it before every upstream had reached it. */
+    /** Another note replaced this one before every upstream had reached its state. */
     Replaced = "Replaced",
 }
 
@@ -56,12 +57,12 @@
     readonly publishedAt: core.WallMilliseconds;
     readonly differences: readonly string[];
     readonly outcome?: NoteOutcome;
-    /** When every upstream had reached it. */
+    /** When every upstream had reached the state that the note requires. */
     readonly reachedAt?: core.WallMilliseconds;
 }
 
 export enum UpstreamPhase {
-    /** Reports what the note asks. */
+    /** The upstream reports the state that the note requires. */
     Reached = "Reached",
     Waiting = "Waiting",
     Ordered = "Ordered",
@@ -70,7 +71,7 @@
     Unreachable = "Unreachable",
 }
 
-/** Where one upstream stands, as its home sees it. */
+/** Rollout progress of one upstream, as its coordinator sees it. */
 export interface UpstreamProgress {
     readonly upstream: core.UpstreamId;
     readonly generation: core.Generation;
--- a/packages/release/src/tenure.ts
+++ b/packages/release/src/upstreamAssignment.ts
@@ -2,36 +2,39 @@
 import type * as rolloutClaims from "./rolloutClaims.js";
 import type * as rolloutPlan from "./rolloutPlan.js";
 
-/** What this home knows of an upstream. All of it may be lost with the home; the next one finds it out anew. */
-export interface Tenure {
+/**
+ * What a coordinator knows about an upstream during a rollout. It is kept in memory only: when the coordinator fails,
+ * its successor reconstructs it from the upstream's reports and the claims.
+ */
+export interface UpstreamAssignment {
     readonly upstream: core.UpstreamId;
-    readonly stopper: AbortController;
-    readonly homeSince: core.MonotonicMilliseconds;
+    readonly abortController: AbortController;
+    readonly coordinatorSince: core.MonotonicMilliseconds;
     unreachableSince: core.MonotonicMilliseconds | undefined;
     loadingSince: core.MonotonicMilliseconds | undefined;
     claim: rolloutClaims.Claim | undefined;
     claimedSince: core.MonotonicMilliseconds | undefined;
     lastOrder: rolloutPlan.SentOrder | undefined;
     retryAt: core.MonotonicMilliseconds | undefined;
-    failures: number;
+    failureCount: number;
     failure: string;
-    target: string;
+    targetText: string;
 }
 
-/** A duty that has just begun: nothing is known yet. */
-export function createTenure(upstream: core.UpstreamId, now: core.MonotonicMilliseconds): Tenure {
+/** Creates the state of an assignment that has just begun, when nothing is known about the upstream. */
+export function createAssignment(upstream: core.UpstreamId, now: core.MonotonicMilliseconds): UpstreamAssignment {
     return {
         upstream,
-        stopper: new AbortController(),
-        homeSince: now,
+        abortController: new AbortController(),
+        coordinatorSince: now,
         unreachableSince: undefined,
         loadingSince: undefined,
         claim: undefined,
         claimedSince: undefined,
         lastOrder: undefined,
         retryAt: undefined,
-        failures: 0,
+        failureCount: 0,
         failure: "",
-        target: "",
+        targetText: "",
     };
 }
