--- a/packages/upstreams/src/clients.ts
+++ b/packages/upstreams/src/clients.ts
@@ -1,8 +1,11 @@
 import type * as types from "./types.js";
 
-/** One model engine. */
+/** A client of one model engine. */
 export abstract class EngineClient implements AsyncDisposable {
-    /** Runs a completion. Ends with exactly one `Finished` or `Failed`; aborting `signal` cancels it at the engine. */
+    /**
+     * Runs a completion. The events end with exactly one `Finished` or `Failed`; aborting `signal` cancels the run at
+     * the engine.
+     */
     abstract run(request: types.EngineRequest, signal: AbortSignal): AsyncIterable<types.EngineEvent>;
     abstract tryReadLoad(): Promise<types.LoadReport | undefined>;
     abstract tryReadState(): Promise<types.UpstreamState | undefined>;
@@ -10,10 +13,10 @@
     abstract [Symbol.asyncDispose](): Promise<void>;
 }
 
-/** One server of a plain service. */
+/** A client of one server of a plain service. */
 export abstract class ServiceClient implements AsyncDisposable {
     abstract call(request: types.ServiceRequest, signal: AbortSignal): Promise<types.ServiceOutcome>;
-    /** Asks what became of a key, on the path that the release note gives. */
+    /** Asks for the outcome of a call by its key, which is part of the path that the release note defines. */
     abstract ask(path: string): Promise<types.AskOutcome>;
     abstract [Symbol.asyncDispose](): Promise<void>;
 }
--- a/packages/upstreams/src/completionRequest.ts
+++ b/packages/upstreams/src/completionRequest.ts
@@ -1,8 +1,9 @@
 import type * as types from "./types.js";
 
 /**
- * The JSON body that asks an engine to run or to resume a completion, always as a stream: only a stream shows that the
- * engine is still at work. Undefined where the text delivered so far already has the length that the caller allows.
+ * Creates the JSON body of a request to run or to resume a completion. The answer is always streamed, since only a
+ * stream shows that the engine is still working. Returns undefined if the text delivered so far has already reached the
+ * caller's token limit.
  */
 export function createBody(request: types.EngineRequest): string | undefined {
     const base = {
@@ -28,7 +29,10 @@
     });
 }
 
-/** The caller's limits count from the start of its answer, the engine's from where it goes on. */
+/**
+ * Returns the caller's token limits reduced by the tokens already delivered, since an engine counts from the point at
+ * which it resumes.
+ */
 function createRemainingLimits(
     body: Readonly<Record<string, unknown>>,
     deliveredTokens: number,
--- a/packages/upstreams/src/completionStream.ts
+++ b/packages/upstreams/src/completionStream.ts
@@ -1,7 +1,7 @@
 import * as eventsource from "eventsource-parser";
 import * as types from "./types.js";
 
-/** One line of an engine's stream, as far as it is read. */
+/** The fields of a line of an engine's stream that are read. */
 interface CompletionChunk {
     readonly id?: string;
     readonly error?: { readonly message?: string };
@@ -22,16 +22,16 @@
 
 const EndOfStream = "[DONE]";
 
-/** What the reader of a stream is told. */
+/** Receives what a `CompletionStream` reads. */
 export interface CompletionStreamListener {
     onToken(text: string): void;
-    /** The engine itself reports an error inside its stream. */
+    /** The engine reported an error within its stream, or sent a line that is not JSON. */
     onError(text: string): void;
-    /** A line that belongs to another request was dropped. */
+    /** A line of another request was dropped. */
     onForeignLine(id: string): void;
 }
 
-/** Reads an OpenAI-shaped event stream piece by piece, wherever the pieces are cut. */
+/** Parses an OpenAI-compatible event stream incrementally. Chunks may end anywhere. */
 export class CompletionStream {
     private readonly decoder = new TextDecoder();
     private readonly parser: eventsource.EventSourceParser;
@@ -51,12 +51,12 @@
         this.parser.feed(this.decoder.decode(piece, { stream: true }));
     }
 
-    /** Whether the engine said that no line follows. */
+    /** Whether the engine sent the end marker of the stream. */
     hasEnded(): boolean {
         return this.isDone;
     }
 
-    /** The closing event, where the stream has told how it ended; undefined where it was cut off before. */
+    /** Returns the final event, or undefined if the stream was cut off before its finish reason. */
     tryGetFinish(): types.EngineEvent | undefined {
         if (this.reason === undefined) {
             return undefined;
@@ -80,7 +80,7 @@
             return;
         }
         if (chunk.id !== this.requestId) {
-            // An engine or a middlebox that mixes up two streams would else show one caller another one's answer.
+            // If an engine or a middlebox mixes up two streams, a caller must not see another caller's answer.
             this.listener.onForeignLine(chunk.id ?? "");
             return;
         }
@@ -94,7 +94,7 @@
             this.tokenCount++;
             this.listener.onToken(text);
         }
-        // The reason and the usage are null on all lines but their own.
+        // The finish reason and the usage are null on all other lines.
         this.reason ??= choice?.finish_reason ?? undefined;
         if (chunk.usage) {
             this.usage = createUsage(chunk.usage);
--- a/packages/upstreams/src/connections.ts
+++ b/packages/upstreams/src/connections.ts
@@ -1,15 +1,15 @@
 import * as undici from "undici";
 
-/** Limits of the connections to one upstream. Milliseconds. */
+/** Time limits of the connections to one upstream. */
 export interface ConnectionLimits {
     readonly connectMilliseconds: number;
-    /** An idle connection older than this is closed: something on the way may have forgotten it. */
+    /** An idle connection is closed after this time, since a middlebox may have dropped its state. */
     readonly idleMilliseconds: number;
-    /** From dispatch to the first piece of an answer. */
+    /** From dispatch to the first chunk of an answer. */
     readonly firstTokenMilliseconds: number;
-    /** Between two pieces of an answer. */
+    /** Between two chunks of an answer. */
     readonly interTokenMilliseconds: number;
-    /** For a load or state report. */
+    /** For a load or state report, an order, or a query of a call's outcome. */
     readonly controlMilliseconds: number;
 }
 
@@ -22,11 +22,11 @@
 };
 
 /**
- * The connections to one upstream for one class of work. When one of them went silent, the idle ones beside it are
- * suspected too, since what loses track of one connection (a restarted middlebox, say) mostly loses all of them. So the
- * whole pool is replaced: streams that still run on the old one run to their end, new requests get new connections.
+ * The connections to one upstream for one class of work. When one connection goes silent, the idle ones are suspect
+ * too, since a failure such as a restarted middlebox usually affects all of them. The whole pool is replaced then:
+ * running streams finish on the old pool, and new requests get new connections.
  */
-export class RenewablePool implements AsyncDisposable {
+export class ReplaceablePool implements AsyncDisposable {
     private pool: undici.Pool;
     private readonly retired = new Set<undici.Pool>();
 
@@ -41,8 +41,8 @@
         return this.pool;
     }
 
-    /** Takes the pool that `dispatcher` stands for out of use, unless that has been done already. */
-    renew(dispatcher: undici.Dispatcher): void {
+    /** Replaces the pool if `dispatcher` is still the current one. */
+    replacePool(dispatcher: undici.Dispatcher): void {
         if (dispatcher !== this.pool) {
             return;
         }
@@ -61,7 +61,7 @@
     }
 }
 
-/** One request at a time on a connection: a second one would wait behind the first's answer. */
+/** Sends one request at a time on a connection, since a second one would wait for the answer to the first. */
 export function createClientOptions(limits: ConnectionLimits): undici.Client.Options {
     return {
         pipelining: 1,
--- a/packages/upstreams/src/eventChannel.ts
+++ b/packages/upstreams/src/eventChannel.ts
@@ -1,57 +1,57 @@
 /**
- * A queue between the task that reads a socket and the one that consumes what was read. It is bounded by its owner:
- * `onHigh` is called when values of `limit` in all wait and `onLow` once half of it is taken, so that a caller who
- * reads slowly stops the socket instead of filling memory.
+ * Options of a queue between the task that reads a socket and the one that consumes the values. The owner provides
+ * backpressure: `onHigh` is called when the queued values reach `limit`, and `onLow` when they are down to half of it,
+ * so that a slow consumer pauses the socket instead of filling memory.
  */
 export interface EventChannelOptions {
-    /** Sum of the sizes that may wait before `onHigh` is called. */
+    /** Total size of the queued values at which `onHigh` is called. */
     readonly limit: number;
     readonly onHigh: () => void;
     readonly onLow: () => void;
-    /** The consumer stopped before the end. */
+    /** Called when the consumer stops before the end. */
     readonly onAbandoned: () => void;
 }
 
-interface Waiting<T> {
+interface QueuedValue<T> {
     readonly value: T;
     readonly size: number;
 }
 
 export class EventChannel<T> implements AsyncIterableIterator<T> {
-    private readonly waiting: Waiting<T>[] = [];
+    private readonly queue: QueuedValue<T>[] = [];
     private head = 0;
-    private waitingSize = 0;
-    private consumer: ((result: IteratorResult<T>) => void) | undefined;
-    private isHigh = false;
+    private queuedSize = 0;
+    private pendingNext: ((result: IteratorResult<T>) => void) | undefined;
+    private isAboveLimit = false;
     private hasEnded = false;
 
     constructor(private readonly options: EventChannelOptions) {}
 
-    /** Adds a value of a size in whatever unit the limit has; after `end` it is dropped. */
+    /** Adds a value with its size, in the unit of the limit. Values added after `end` are dropped. */
     push(value: T, size: number): void {
         if (this.hasEnded) {
             return;
         }
-        if (this.consumer !== undefined) {
-            this.resolveConsumer({ done: false, value });
+        if (this.pendingNext !== undefined) {
+            this.resolvePendingNext({ done: false, value });
             return;
         }
-        this.waiting.push({ value, size });
-        this.waitingSize += size;
-        if (!this.isHigh && this.waitingSize >= this.options.limit) {
-            this.isHigh = true;
+        this.queue.push({ value, size });
+        this.queuedSize += size;
+        if (!this.isAboveLimit && this.queuedSize >= this.options.limit) {
+            this.isAboveLimit = true;
             this.options.onHigh();
         }
     }
 
-    /** No value follows; those that wait are still delivered. */
+    /** Ends the channel. Queued values are still delivered. */
     end(): void {
         if (this.hasEnded) {
             return;
         }
         this.hasEnded = true;
-        if (this.consumer !== undefined) {
-            this.resolveConsumer({ done: true, value: undefined });
+        if (this.pendingNext !== undefined) {
+            this.resolvePendingNext({ done: true, value: undefined });
         }
     }
 
@@ -60,14 +60,14 @@
     }
 
     next(): Promise<IteratorResult<T>> {
-        if (this.head < this.waiting.length) {
-            return Promise.resolve({ done: false, value: this.takeWaiting() });
+        if (this.head < this.queue.length) {
+            return Promise.resolve({ done: false, value: this.dequeue() });
         }
         if (this.hasEnded) {
             return Promise.resolve({ done: true, value: undefined });
         }
         return new Promise(resolve => {
-            this.consumer = resolve;
+            this.pendingNext = resolve;
         });
     }
 
@@ -76,26 +76,26 @@
             this.options.onAbandoned();
             this.end();
         }
-        this.waiting.length = 0;
+        this.queue.length = 0;
         this.head = 0;
         return Promise.resolve({ done: true, value: undefined });
     }
 
-    private resolveConsumer(result: IteratorResult<T>): void {
-        const resolve = this.consumer;
-        this.consumer = undefined;
+    private resolvePendingNext(result: IteratorResult<T>): void {
+        const resolve = this.pendingNext;
+        this.pendingNext = undefined;
         resolve?.(result);
     }
 
-    private takeWaiting(): T {
-        const { value, size } = this.waiting[this.head++] as Waiting<T>;
-        this.waitingSize -= size;
-        if (this.head === this.waiting.length) {
-            this.waiting.length = 0;
+    private dequeue(): T {
+        const { value, size } = this.queue[this.head++] as QueuedValue<T>;
+        this.queuedSize -= size;
+        if (this.head === this.queue.length) {
+            this.queue.length = 0;
             this.head = 0;
         }
-        if (this.isHigh && this.waitingSize * 2 <= this.options.limit) {
-            this.isHigh = false;
+        if (this.isAboveLimit && this.queuedSize * 2 <= this.options.limit) {
+            this.isAboveLimit = false;
             this.options.onLow();
         }
         return value;
--- a/packages/upstreams/src/exchange.ts
+++ b/packages/upstreams/src/exchange.ts
@@ -1,13 +1,13 @@
 import type * as core from "@boragedale/core";
 import type * as undici from "undici";
 
-/** How an exchange ended without a whole response. */
+/** How an exchange ended without a complete response. */
 export enum ExchangeFailureKind {
-    /** No byte of the request can have left this process. */
+    /** No byte of the request can have been sent. */
     NotSent = "NotSent",
-    /** The connection broke after the request may have left. */
+    /** The connection broke after the request may have been sent. */
     Broken = "Broken",
-    /** Nothing arrived for longer than the limit; the connection was destroyed. */
+    /** Nothing arrived for longer than the limit, and the connection was destroyed. */
     Silent = "Silent",
     Cancelled = "Cancelled",
 }
@@ -15,7 +15,7 @@
 export interface ExchangeFailure {
     readonly kind: ExchangeFailureKind;
     readonly text: string;
-    /** Whether any byte of the request can have left. Never true with `NotSent`. */
+    /** Whether any byte of the request can have been sent. Never true with `NotSent`. */
     readonly mayHaveLeft: boolean;
 }
 
@@ -26,15 +26,15 @@
     readonly body: string | Uint8Array | undefined;
 }
 
-/** Longest silences that are waited for, in milliseconds. */
+/** Longest times without received data before an exchange is aborted. */
 export interface SilenceLimits {
     /** From dispatch to the first byte of the body. */
     readonly firstMilliseconds: number;
-    /** Between two pieces of the body. */
+    /** Between two chunks of the body. */
     readonly nextMilliseconds: number;
 }
 
-/** What the owner of an exchange is told; ends with exactly one `onEnd` or `onFailure`. */
+/** Receives the progress of an exchange, which ends with exactly one `onEnd` or `onFailure`. */
 export interface ExchangeListener {
     onHeaders(status: number, headers: Readonly<Record<string, string | string[] | undefined>>): void;
     onData(chunk: Buffer): void;
@@ -43,18 +43,18 @@
 }
 
 /**
- * One request and its response on a connection. It knows two things that undici's own promises don't tell apart
- * cleanly: whether any byte of the request can have left, and whether a silence is the upstream's or our own doing
- * (a paused response).
+ * One request and its response on a connection. It tracks two things that undici's promises don't distinguish: whether
+ * any byte of the request can have been sent, and whether missing data is due to the upstream or to a response that
+ * this process paused.
  */
 export class Exchange implements undici.Dispatcher.DispatchHandler {
     private controller: undici.Dispatcher.DispatchController | undefined;
     private mayHaveLeft = false;
     private hasEnded = false;
     private isPaused = false;
-    private hasBody = false;
+    private hasReceivedBody = false;
     private lastActivityAt: core.MonotonicMilliseconds;
-    private stopTimer: (() => void) | undefined;
+    private cancelTimer: (() => void) | undefined;
 
     constructor(
         private readonly clock: core.Clock,
@@ -64,9 +64,12 @@
         this.lastActivityAt = clock.now();
     }
 
-    /** Hands the request to a connection or pool. `closesConnection` asks for a connection that is used once. */
+    /**
+     * Dispatches the request to a connection or pool. With `closesConnection` the connection is closed after the
+     * response.
+     */
     start(dispatcher: undici.Dispatcher, request: ExchangeRequest, closesConnection = false): void {
-        this.watchSilence();
+        this.checkSilence();
         try {
             dispatcher.dispatch(
                 {
@@ -74,7 +77,8 @@
                     path: request.path,
                     headers: request.headers,
                     ...(request.body === undefined ? {} : { body: request.body }),
-                    // Our own silence limits run on the given clock; undici's would run on the wall's.
+                    // undici's timeouts are disabled, since they use the wall clock; `checkSilence` uses the given
+                    // clock.
                     headersTimeout: 0,
                     bodyTimeout: 0,
                     reset: closesConnection,
@@ -87,12 +91,12 @@
         }
     }
 
-    /** Gives the exchange up. Its connection is destroyed, by which the upstream learns of it. */
+    /** Cancels the exchange. Its connection is destroyed, which signals the cancellation to the upstream. */
     cancel(): void {
         this.abandon(ExchangeFailureKind.Cancelled, "cancelled");
     }
 
-    /** Stops reading the response until `resume`; TCP then holds the upstream back. */
+    /** Stops reading the response until `resume`; TCP flow control then slows down the upstream. */
     pause(): void {
         this.isPaused = true;
         this.controller?.pause();
@@ -106,8 +110,9 @@
 
     onRequestStart(controller: undici.Dispatcher.DispatchController): void {
         if (this.hasEnded || this.mayHaveLeft) {
-            // Given up while it waited for a connection: nothing may leave any more. And undici may start a request
-            // a second time when a connection fails below it; a call that may not be repeated would then run twice.
+            // The exchange ended while it waited for a connection, so nothing may be sent any more. Or undici starts
+            // the request a second time after its connection failed, which would run a call twice that may not be
+            // repeated.
             controller.abort(new Error("not to be sent"));
             return;
         }
@@ -129,7 +134,7 @@
         if (!this.isCurrent(controller)) {
             return;
         }
-        this.hasBody = true;
+        this.hasReceivedBody = true;
         this.lastActivityAt = this.clock.now();
         this.listener.onData(chunk);
     }
@@ -148,15 +153,20 @@
         return !this.hasEnded && controller === this.controller;
     }
 
-    /** One timer that re-arms itself, not one a piece: a fast stream would else start thousands a second. */
-    private watchSilence(): void {
-        const limit = this.hasBody ? this.limits.nextMilliseconds : this.limits.firstMilliseconds;
-        const rest = this.lastActivityAt + limit - this.clock.now();
-        if (rest <= 0 && !this.isPaused) {
-            this.abandon(ExchangeFailureKind.Silent, `nothing arrived for ${limit} ms`);
+    /**
+     * Aborts the exchange when nothing has arrived for longer than the limit. One timer re-arms itself; a timer for
+     * each chunk would start thousands of timers a second on a fast stream.
+     */
+    private checkSilence(): void {
+        const limitMilliseconds = this.hasReceivedBody ? this.limits.nextMilliseconds : this.limits.firstMilliseconds;
+        const remainingMilliseconds = this.lastActivityAt + limitMilliseconds - this.clock.now();
+        if (remainingMilliseconds <= 0 && !this.isPaused) {
+            this.abandon(ExchangeFailureKind.Silent, `nothing arrived for ${limitMilliseconds} ms`);
             return;
         }
-        this.stopTimer = this.clock.schedule(this.isPaused ? limit : rest, () => this.watchSilence());
+        this.cancelTimer = this.clock.schedule(this.isPaused ? limitMilliseconds : remainingMilliseconds, () =>
+            this.checkSilence(),
+        );
     }
 
     private abandon(kind: ExchangeFailureKind, text: string): void {
@@ -164,7 +174,7 @@
             return;
         }
         const controller = this.controller;
-        // A request that never left is reported as such, whoever gave it up, unless we cancelled it ourselves.
+        // A request that was never sent is reported as not sent, unless it was cancelled.
         const isUnsent = !this.mayHaveLeft && kind !== ExchangeFailureKind.Cancelled;
         this.fail(isUnsent ? ExchangeFailureKind.NotSent : kind, text);
         controller?.abort(new Error(text));
@@ -181,7 +191,7 @@
             return false;
         }
         this.hasEnded = true;
-        this.stopTimer?.();
+        this.cancelTimer?.();
         return true;
     }
 }
--- a/packages/upstreams/src/httpEngineClient.ts
+++ b/packages/upstreams/src/httpEngineClient.ts
@@ -19,41 +19,41 @@
     readonly limits?: Partial<connections.ConnectionLimits>;
 }
 
-/** Characters that wait for a slow caller before its stream is held back at the engine. */
-const MaximumWaitingCharacters = 4_096;
-/** An error's body is for people; a longer one is cut. */
+/** Number of buffered characters at which the stream to a slow caller is paused. */
+const MaximumBufferedCharacters = 4_096;
+/** An error's body is only shown to people, so a longer one is truncated. */
 const MaximumErrorBytes = 4_096;
 
 /**
- * A model engine over HTTP, for one class of work: the classes have a client each, so that batch streams never hold a
- * connection or a place in a pool that an online request waits for.
+ * An HTTP client of a model engine for one class of work. Each class has its own client and thus its own pool, so that
+ * an online request never waits for a connection that a batch stream uses.
  */
 export class HttpEngineClient extends clients.EngineClient {
-    private readonly pool: connections.RenewablePool;
-    /** Reports and orders don't wait behind streams. */
-    private readonly controlPool: connections.RenewablePool;
+    private readonly pool: connections.ReplaceablePool;
+    /** A separate pool, so that reports and orders don't wait for streams. */
+    private readonly controlPool: connections.ReplaceablePool;
     private readonly limits: connections.ConnectionLimits;
     private readonly basePath: string;
 
     constructor(private readonly options: HttpEngineClientOptions) {
         super();
         this.limits = { ...connections.DefaultConnectionLimits, ...options.limits };
-        this.pool = new connections.RenewablePool(options.url, this.limits);
-        this.controlPool = new connections.RenewablePool(options.url, this.limits);
+        this.pool = new connections.ReplaceablePool(options.url, this.limits);
+        this.controlPool = new connections.ReplaceablePool(options.url, this.limits);
         this.basePath = new URL(options.url).pathname.replace(/\/$/, "");
     }
 
     override run(request: types.EngineRequest, signal: AbortSignal): AsyncIterable<types.EngineEvent> {
         if (signal.aborted) {
-            return createSingle(createFailure(types.EngineFailureKind.Cancelled, "cancelled before it was sent"));
+            return createSingleEvent(createFailure(types.EngineFailureKind.Cancelled, "cancelled before it was sent"));
         }
         const body = completionRequest.createBody(request);
         if (body === undefined) {
             const usage = { promptTokens: 0, completionTokens: 0, cachedTokens: 0 };
-            return createSingle({ kind: types.EngineEventKind.Finished, reason: "length", usage });
+            return createSingleEvent({ kind: types.EngineEventKind.Finished, reason: "length", usage });
         }
         const dispatcher = this.pool.getDispatcher();
-        const run = new EngineRun(request.id, this.options, this.limits, () => this.pool.renew(dispatcher));
+        const run = new EngineRun(request.id, this.options, this.limits, () => this.pool.replacePool(dispatcher));
         run.start(dispatcher, createExchangeRequest(`${this.basePath}/v1/chat/completions`, request.id, body), signal);
         return run.events;
     }
@@ -73,7 +73,7 @@
             headers: { "content-type": "application/json" },
             body: JSON.stringify(order),
         };
-        const reply = await this.control(request);
+        const reply = await this.sendControlRequest(request);
         if (!reply.ok) {
             return { kind: types.OrderOutcomeKind.Failed, text: reply.failure.text };
         }
@@ -94,7 +94,7 @@
     }
 
     private async tryReadJson(path: string): Promise<unknown> {
-        const reply = await this.control({
+        const reply = await this.sendControlRequest({
             method: "GET",
             path: this.basePath + path,
             headers: {},
@@ -103,7 +103,7 @@
         return reply.ok && reply.status === 200 ? reports.tryParseJson(reply.body) : undefined;
     }
 
-    private async control(request: exchange.ExchangeRequest): Promise<reports.Reply> {
+    private async sendControlRequest(request: exchange.ExchangeRequest): Promise<reports.Reply> {
         const dispatcher = this.controlPool.getDispatcher();
         const limit = this.limits.controlMilliseconds;
         const reply = await reports.readReply(dispatcher, request, {
@@ -111,23 +111,23 @@
             limits: { firstMilliseconds: limit, nextMilliseconds: limit },
         });
         if (!reply.ok && reply.failure.kind === exchange.ExchangeFailureKind.Silent) {
-            this.controlPool.renew(dispatcher);
+            this.controlPool.replacePool(dispatcher);
         }
         return reply;
     }
 }
 
-/** One completion on one connection, from the request's first byte to the closing event. */
+/** One completion on one connection, from the first byte of the request to the final event. */
 class EngineRun implements exchange.ExchangeListener, completionStream.CompletionStreamListener {
     readonly events: channel.EventChannel<types.EngineEvent>;
     private readonly exchange: exchange.Exchange;
     private readonly stream: completionStream.CompletionStream;
-    private readonly errorPieces: Buffer[] = [];
+    private readonly errorChunks: Buffer[] = [];
     private errorBytes = 0;
     private status = 0;
     private text = "";
     private tokens = 0;
-    private stopListening: () => void = () => undefined;
+    private removeAbortListener: () => void = () => undefined;
 
     constructor(
         requestId: string,
@@ -135,14 +135,14 @@
         limits: connections.ConnectionLimits,
         private readonly onSilent: () => void,
     ) {
-        const silence = {
+        const silenceLimits = {
             firstMilliseconds: limits.firstTokenMilliseconds,
             nextMilliseconds: limits.interTokenMilliseconds,
         };
-        this.exchange = new exchange.Exchange(options.clock, silence, this);
+        this.exchange = new exchange.Exchange(options.clock, silenceLimits, this);
         this.stream = new completionStream.CompletionStream(requestId, this);
         this.events = new channel.EventChannel({
-            limit: MaximumWaitingCharacters,
+            limit: MaximumBufferedCharacters,
             onHigh: () => this.exchange.pause(),
             onLow: () => this.exchange.resume(),
             onAbandoned: () => this.exchange.cancel(),
@@ -152,7 +152,7 @@
     start(dispatcher: undici.Dispatcher, request: exchange.ExchangeRequest, signal: AbortSignal): void {
         const cancel = (): void => this.exchange.cancel();
         signal.addEventListener("abort", cancel, { once: true });
-        this.stopListening = () => signal.removeEventListener("abort", cancel);
+        this.removeAbortListener = () => signal.removeEventListener("abort", cancel);
         this.exchange.start(dispatcher, request);
     }
 
@@ -173,7 +173,7 @@
         }
         else if (this.errorBytes < MaximumErrorBytes) {
             this.errorBytes += chunk.length;
-            this.errorPieces.push(chunk);
+            this.errorChunks.push(chunk);
         }
     }
 
@@ -189,7 +189,7 @@
         if (failure.kind === exchange.ExchangeFailureKind.Silent) {
             this.onSilent();
         }
-        // The text is whole once the engine has told why it ended; a connection lost behind it changes nothing.
+        // After the finish reason the text is complete, so a connection that is lost later doesn't matter.
         this.close(this.stream.tryGetFinish() ?? createFailure(toFailureKind(failure.kind), failure.text));
     }
 
@@ -209,8 +209,8 @@
     }
 
     /**
-     * Hands on what one piece from the network held, as one event. Tokens that came together gain nothing from going on
-     * one by one, and under load, when pieces hold many, an event for each was most of the cost.
+     * Emits the tokens of one network chunk as one event. Emitting them one by one has no benefit, and under load, when
+     * a chunk holds many tokens, an event for each token dominates the cost.
      */
     private pushTokens(): void {
         if (this.tokens > 0) {
@@ -227,13 +227,13 @@
     }
 
     private close(event: types.EngineEvent): void {
-        this.stopListening();
+        this.removeAbortListener();
         this.events.push(event, 0);
         this.events.end();
     }
 
     private readErrorText(): string {
-        return Buffer.concat(this.errorPieces).toString("utf8", 0, MaximumErrorBytes);
+        return Buffer.concat(this.errorChunks).toString("utf8", 0, MaximumErrorBytes);
     }
 }
 
@@ -272,6 +272,6 @@
     return { kind: types.EngineEventKind.Failed, failure: { kind, text, status } };
 }
 
-async function* createSingle(event: types.EngineEvent): AsyncIterable<types.EngineEvent> {
+async function* createSingleEvent(event: types.EngineEvent): AsyncIterable<types.EngineEvent> {
     yield event;
 }
--- a/packages/upstreams/src/httpServiceClient.ts
+++ b/packages/upstreams/src/httpServiceClient.ts
@@ -15,7 +15,7 @@
     readonly limits?: Partial<connections.ConnectionLimits>;
 }
 
-/** Headers that belong to one connection, not to the message; they are never passed on. */
+/** Headers that apply to a single connection or its framing; they are never forwarded. */
 const ConnectionHeaders = new Set([
     "connection",
     "keep-alive",
@@ -30,9 +30,9 @@
     "expect",
 ]);
 
-/** One server of a plain service over HTTP, for one class of work. */
+/** An HTTP client of one server of a plain service, for one class of work. */
 export class HttpServiceClient extends clients.ServiceClient {
-    private readonly pool: connections.RenewablePool;
+    private readonly pool: connections.ReplaceablePool;
     private readonly proved: proved.ProvedConnections;
     private readonly limits: connections.ConnectionLimits;
     private readonly basePath: string;
@@ -40,7 +40,7 @@
     constructor(private readonly options: HttpServiceClientOptions) {
         super();
         this.limits = { ...connections.DefaultConnectionLimits, ...options.limits };
-        this.pool = new connections.RenewablePool(options.url, this.limits);
+        this.pool = new connections.ReplaceablePool(options.url, this.limits);
         this.proved = new proved.ProvedConnections(options.url, this.limits, options.clock);
         this.basePath = new URL(options.url).pathname.replace(/\/$/, "");
     }
@@ -76,15 +76,15 @@
         const message = this.createMessage(request);
         const reply = await this.send(dispatcher, message, request.timeoutMilliseconds, signal);
         if (!reply.ok && reply.failure.kind === exchange.ExchangeFailureKind.Silent) {
-            this.pool.renew(dispatcher);
+            this.pool.replacePool(dispatcher);
         }
         return reply;
     }
 
     private async callProved(request: types.ServiceRequest, signal: AbortSignal): Promise<reports.Reply> {
-        const client = this.proved.take();
+        const client = this.proved.acquire();
         const reply = await this.send(client, this.createMessage(request), request.timeoutMilliseconds, signal);
-        this.proved.giveBack(client, reply.ok);
+        this.proved.release(client, reply.ok);
         return reply;
     }
 
@@ -102,7 +102,7 @@
     }
 
     private createMessage(request: types.ServiceRequest): exchange.ExchangeRequest {
-        const headers = selectHeaders(request.headers);
+        const headers = removeConnectionHeaders(request.headers);
         return {
             method: request.method as undici.Dispatcher.HttpMethod,
             path: this.basePath + request.path,
@@ -114,14 +114,14 @@
 
 function createOutcome(reply: reports.Reply): types.ServiceOutcome {
     if (reply.ok) {
-        const response = { status: reply.status, headers: selectHeaders(reply.headers), body: reply.body };
+        const response = { status: reply.status, headers: removeConnectionHeaders(reply.headers), body: reply.body };
         return { ok: true, response };
     }
     const kind = reply.failure.mayHaveLeft ? types.ServiceFailureKind.MayHaveRun : types.ServiceFailureKind.NotSent;
     return { ok: false, kind, text: reply.failure.text };
 }
 
-function selectHeaders(headers: Readonly<Record<string, string>>): Readonly<Record<string, string>> {
+function removeConnectionHeaders(headers: Readonly<Record<string, string>>): Readonly<Record<string, string>> {
     const entries = Object.entries(headers).map(([name, value]) => [name.toLowerCase(), value] as const);
     return Object.fromEntries(entries.filter(([name]) => !ConnectionHeaders.has(name)));
 }
--- a/packages/upstreams/src/index.ts
+++ b/packages/upstreams/src/index.ts
@@ -1,4 +1,4 @@
-/** Engine and service clients. */
+/** HTTP clients of model engines and plain services. */
 export * from "./types.js";
 export * from "./clients.js";
 export * from "./connections.js";
--- a/packages/upstreams/src/provedConnections.ts
+++ b/packages/upstreams/src/provedConnections.ts
@@ -7,13 +7,14 @@
     readonly answeredAt: core.MonotonicMilliseconds;
 }
 
-/** Idle connections kept for one service; more calls than this at once open new ones. */
+/** Maximum number of idle connections that are kept for one server; further connections are closed after their call. */
 const MaximumIdleConnections = 32;
 
 /**
- * Connections for calls that can't be sent twice. An open connection may have gone silent since it was last used; a
- * call put on it would be lost with nobody knowing whether it ran. So only a connection that answered within the last
- * seconds is used again, and else a new one: its handshake proves that the way is open.
+ * Connections for calls that can't be sent twice. An idle connection may have failed silently since its last use; a
+ * call on it would be lost, and it would be unknown whether the call ran. Therefore only a connection that answered
+ * within the last seconds is reused. Otherwise a new one is opened, whose handshake proves that the server is
+ * reachable.
  */
 export class ProvedConnections implements AsyncDisposable {
     private readonly idle: IdleConnection[] = [];
@@ -25,15 +26,15 @@
         private readonly clock: core.Clock,
     ) {}
 
-    take(): undici.Client {
-        this.discardOld();
+    acquire(): undici.Client {
+        this.closeExpired();
         const client = this.idle.pop()?.client ?? this.createClient();
         this.busy.add(client);
         return client;
     }
 
-    /** Gives a connection back; one that did not answer in full is destroyed. */
-    giveBack(client: undici.Client, hasAnswered: boolean): void {
+    /** Returns a connection; one that did not deliver a complete answer is destroyed. */
+    release(client: undici.Client, hasAnswered: boolean): void {
         this.busy.delete(client);
         if (!hasAnswered || this.idle.length >= MaximumIdleConnections) {
             void client.destroy();
@@ -47,9 +48,9 @@
         await Promise.all(clients.map(client => client.destroy()));
     }
 
-    private discardOld(): void {
-        const oldest = this.clock.now() - this.limits.idleMilliseconds;
-        while (this.idle[0] !== undefined && this.idle[0].answeredAt <= oldest) {
+    private closeExpired(): void {
+        const expiryLimit = this.clock.now() - this.limits.idleMilliseconds;
+        while (this.idle[0] !== undefined && this.idle[0].answeredAt <= expiryLimit) {
             void this.idle.shift()?.client.destroy();
         }
     }
--- a/packages/upstreams/src/reports.ts
+++ b/packages/upstreams/src/reports.ts
@@ -3,7 +3,7 @@
 import * as exchange from "./exchange.js";
 import type * as types from "./types.js";
 
-/** Largest answer that is kept in memory whole, in bytes. */
+/** Maximum size of an answer that is buffered in memory, in bytes. */
 export const MaximumReplyBytes = 16 * 1_024 * 1_024;
 
 export type Reply =
@@ -22,7 +22,7 @@
     readonly closesConnection?: boolean;
 }
 
-/** Sends a request and collects its whole answer. */
+/** Sends a request and collects the complete answer. */
 export function readReply(
     dispatcher: undici.Dispatcher,
     request: exchange.ExchangeRequest,
@@ -36,9 +36,9 @@
 
 class ReplyCollector implements exchange.ExchangeListener {
     private readonly exchange: exchange.Exchange;
-    private readonly pieces: Buffer[] = [];
+    private readonly chunks: Buffer[] = [];
     private readonly cancel = (): void => this.exchange.cancel();
-    private bytes = 0;
+    private receivedBytes = 0;
     private status = 0;
     private headers: Readonly<Record<string, string>> = {};
 
@@ -66,9 +66,9 @@
     }
 
     onData(chunk: Buffer): void {
-        this.bytes += chunk.length;
-        this.pieces.push(chunk);
-        if (this.bytes > MaximumReplyBytes) {
+        this.receivedBytes += chunk.length;
+        this.chunks.push(chunk);
+        if (this.receivedBytes > MaximumReplyBytes) {
             const text = `the answer is over ${MaximumReplyBytes} bytes`;
             const failure = { kind: exchange.ExchangeFailureKind.Broken, text, mayHaveLeft: true };
             this.settle({ ok: false, failure });
@@ -77,7 +77,7 @@
     }
 
     onEnd(): void {
-        this.settle({ ok: true, status: this.status, headers: this.headers, body: Buffer.concat(this.pieces) });
+        this.settle({ ok: true, status: this.status, headers: this.headers, body: Buffer.concat(this.chunks) });
     }
 
     onFailure(failure: exchange.ExchangeFailure): void {
--- a/packages/upstreams/src/types.ts
+++ b/packages/upstreams/src/types.ts
@@ -2,12 +2,12 @@
 
 /** One chat completion to run on an engine. */
 export interface EngineRequest {
-    /** Correlates every line of the answer; a line with another id is dropped as somebody else's. */
+    /** Correlates every line of the answer; a line with another id belongs to another request and is dropped. */
     readonly id: string;
     readonly model: core.ModelId;
     /** The caller's body as JSON, already checked. */
     readonly body: Readonly<Record<string, unknown>>;
-    /** Text that an interrupted run has already delivered; the engine goes on behind it. */
+    /** Text that an interrupted run has already delivered; the engine continues after it. */
     readonly resumeAfter?: ResumePoint;
 }
 
@@ -17,7 +17,7 @@
 }
 
 export enum EngineEventKind {
-    /** The engine took the request. */
+    /** The engine accepted the request. */
     Accepted = "Accepted",
     Token = "Token",
     Finished = "Finished",
@@ -25,17 +25,17 @@
 }
 
 export enum EngineFailureKind {
-    /** The connection was refused or no byte of the request left: not run. */
+    /** The connection was refused or no byte of the request was sent; the request did not run. */
     NotSent = "NotSent",
-    /** The engine answered with an error of its own, status 4xx. */
+    /** The engine rejected the request with a status 4xx. */
     Rejected = "Rejected",
-    /** The engine is overloaded or not ready, status 429 or 503: not run. */
+    /** The engine is overloaded or not ready, status 429 or 503; the request did not run. */
     Busy = "Busy",
-    /** The connection broke, or the engine died, while the request ran. */
+    /** The connection broke or the engine failed while the request ran. */
     Broken = "Broken",
-    /** The stream or connection went silent for longer than the limit. */
+    /** Nothing arrived on the stream or connection for longer than the limit. */
     Silent = "Silent",
-    /** Cancelled by us. */
+    /** Cancelled by this client. */
     Cancelled = "Cancelled",
 }
 
@@ -54,29 +54,29 @@
 
 export type EngineEvent =
     | { readonly kind: EngineEventKind.Accepted }
-    /** Text of one or, where they came together, several tokens. */
+    /** Text of one token, or of several tokens that arrived together. */
     | { readonly kind: EngineEventKind.Token; readonly text: string; readonly tokens: number }
     | { readonly kind: EngineEventKind.Finished; readonly reason: string; readonly usage: Usage }
     | { readonly kind: EngineEventKind.Failed; readonly failure: EngineFailure };
 
-/** What an engine says of its load; it lags, so it is a hint beside own observations. */
+/** The load that an engine reports. The report lags, so it only supplements the instance's own observations. */
 export interface LoadReport {
     readonly running: number;
     readonly waiting: number;
-    /** 0 to 1. */
+    /** Used fraction of the engine's cache, from 0 to 1. */
     readonly cacheUsage: number;
     readonly ageMilliseconds: number;
 }
 
-/** What an upstream says it is. The only truth that a rollout goes by. */
+/** The state that an upstream reports. A rollout relies on this report alone. */
 export interface UpstreamState {
     readonly models: readonly HeldModel[];
     readonly role: core.UpstreamRole;
-    /** Highest fencing number that it has seen; undefined where it ignores them. */
+    /** Highest fencing number that the upstream has seen; undefined if it ignores fencing numbers. */
     readonly fencing: number | undefined;
     readonly isLoading: boolean;
     readonly isLeaving: boolean;
-    /** Why the last order failed, where it did. */
+    /** Reason of the last order's failure, if it failed. */
     readonly failure?: string;
 }
 
@@ -86,7 +86,10 @@
     readonly adapters: readonly core.AdapterDescription[];
 }
 
-/** Brings an upstream to a state. Whole, not a difference, so that repeating it is harmless. */
+/**
+ * An order that brings an upstream to a state. It contains the complete state and no difference, so that repeating it
+ * is harmless.
+ */
 export interface UpstreamOrder {
     readonly fencing: number;
     readonly models: readonly HeldModel[];
@@ -95,7 +98,7 @@
 
 export enum OrderOutcomeKind {
     Accepted = "Accepted",
-    /** The order's fencing number is old. */
+    /** The order's fencing number is outdated. */
     Fenced = "Fenced",
     Failed = "Failed",
 }
@@ -112,9 +115,12 @@
     readonly path: string;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: Uint8Array | undefined;
-    /** Sent as `Idempotency-Key` where the call has one. */
+    /** Sent as `Idempotency-Key` if the call has a key. */
     readonly key?: string;
-    /** Use only a connection that is new or answered within the last seconds: this call can't be sent twice. */
+    /**
+     * Whether the call may only use a connection that is new or has answered within the last seconds, since it can't be
+     * sent twice.
+     */
     readonly needsProvedConnection: boolean;
     readonly timeoutMilliseconds: number;
 }
@@ -126,9 +132,9 @@
 }
 
 export enum ServiceFailureKind {
-    /** No byte left: not run. */
+    /** No byte was sent; the call did not run. */
     NotSent = "NotSent",
-    /** It may have run. */
+    /** The call may have run. */
     MayHaveRun = "MayHaveRun",
 }
 
@@ -139,7 +145,7 @@
 export enum AskOutcomeKind {
     Ran = "Ran",
     DidNotRun = "DidNotRun",
-    /** The service could not be asked. */
+    /** The service gave no usable answer. */
     NoAnswer = "NoAnswer",
 }
 
