--- a/packages/release/src/noteDifferences.ts
+++ b/packages/release/src/noteDifferences.ts
@@ -47,9 +47,9 @@
  */
 export function countRounds(before: core.FleetDescription | undefined, after: core.FleetDescription): number {
     const loading = getAffectedUpstreams(before, after).filter(upstream => upstream.needsLoad);
-    const byRate = Math.ceil(loading.length / after.weightStore.concurrentLoads);
+    const byLoadLimit = Math.ceil(loading.length / after.weightStore.concurrentLoads);
     const byFloors = after.models.map(model => countRoundsOfModel(before, after, model, loading));
-    return Math.max(byRate, ...byFloors);
+    return Math.max(byLoadLimit, ...byFloors);
 }
 
 function countRoundsOfModel(
--- a/packages/release/src/rolloutClaims.ts
+++ b/packages/release/src/rolloutClaims.ts
@@ -177,10 +177,10 @@
     }
 
     private async requestLease(): Promise<backing.LeaseId | undefined> {
-        const askedAt = this.clock.now();
+        const requestedAt = this.clock.now();
         const result = await this.keyValue.grantLease(LeaseMilliseconds);
         this.lease = result.ok ? result.value : undefined;
-        this.leaseValidUntil = askedAt + LeaseMilliseconds - LeaseMarginMilliseconds;
+        this.leaseValidUntil = requestedAt + LeaseMilliseconds - LeaseMarginMilliseconds;
         return this.lease;
     }
 
@@ -195,10 +195,10 @@
     }
 
     private async keepAlive(lease: backing.LeaseId): Promise<void> {
-        const askedAt = this.clock.now();
+        const requestedAt = this.clock.now();
         const result = await this.keyValue.keepLeaseAlive(lease);
         if (result.ok && result.value) {
-            this.leaseValidUntil = askedAt + LeaseMilliseconds - LeaseMarginMilliseconds;
+            this.leaseValidUntil = requestedAt + LeaseMilliseconds - LeaseMarginMilliseconds;
         }
         else if (result.ok) {
             this.lease = undefined;
--- a/packages/release/src/rolloutPlan.ts
+++ b/packages/release/src/rolloutPlan.ts
@@ -133,8 +133,8 @@
 
 /** Returns the delay after a number of failures; it doubles with each failure up to the longest delay. */
 export function getRetryDelayMilliseconds(failures: number, limits: RolloutLimits): number {
-    const wait = limits.firstRetryMilliseconds * 2 ** Math.max(0, Math.min(failures - 1, 20));
-    return Math.min(wait, limits.longestRetryMilliseconds);
+    const delayMilliseconds = limits.firstRetryMilliseconds * 2 ** Math.max(0, Math.min(failures - 1, 20));
+    return Math.min(delayMilliseconds, limits.longestRetryMilliseconds);
 }
 
 function decideUnreachable(view: UpstreamView): Step {
--- a/packages/release/src/upstreamAssignment.ts
+++ b/packages/release/src/upstreamAssignment.ts
@@ -9,15 +9,19 @@
 export interface UpstreamAssignment {
     readonly upstream: core.UpstreamId;
     readonly abortController: AbortController;
+    /** When this instance became the upstream's coordinator. */
     readonly coordinatorSince: core.MonotonicMilliseconds;
     unreachableSince: core.MonotonicMilliseconds | undefined;
     loadingSince: core.MonotonicMilliseconds | undefined;
     claim: rolloutClaims.Claim | undefined;
     claimedSince: core.MonotonicMilliseconds | undefined;
     lastOrder: rolloutPlan.SentOrder | undefined;
+    /** Time of the next attempt after a failure. */
     retryAt: core.MonotonicMilliseconds | undefined;
     failureCount: number;
+    /** Reason of the last failure. */
     failure: string;
+    /** The target that the note requires, as formatted by `formatTarget`. */
     targetText: string;
 }
 
--- a/packages/release/src/upstreamRollout.ts
+++ b/packages/release/src/upstreamRollout.ts
@@ -228,13 +228,13 @@
         upstream: core.UpstreamDescription,
         target: rolloutPlan.Target,
     ): Promise<string> {
-        const askedAt = this.options.clock.now();
+        const renewalStartedAt = this.options.clock.now();
         const renewed = await this.claimant.renew(assignment, note);
         if (renewed === undefined) {
             return "another coordinator took over";
         }
-        // If this instance was paused here, another coordinator may have taken over. Within this time nobody does.
-        const isLate = this.options.clock.now() - askedAt >= this.limits.longestOrderMilliseconds;
+        // Another coordinator may have taken over if this instance was paused for longer than an order may take.
+        const isLate = this.options.clock.now() - renewalStartedAt >= this.limits.longestOrderMilliseconds;
         if (assignment.abortController.signal.aborted || isLate) {
             return "renewing the claim took too long";
         }
@@ -258,14 +258,14 @@
         upstream: core.UpstreamDescription,
         order: upstreams.UpstreamOrder,
     ): Promise<upstreams.OrderOutcome> {
-        const answered = new AbortController();
+        const timeoutController = new AbortController();
         const timeoutOutcome = { kind: upstreams.OrderOutcomeKind.Failed, text: "no answer in time" };
-        const timeout = this.options.clock.sleep(this.limits.longestOrderMilliseconds, answered.signal);
+        const timeout = this.options.clock.sleep(this.limits.longestOrderMilliseconds, timeoutController.signal);
         const outcome = await Promise.race([
             this.options.getEngine(upstream).order(order),
             timeout.then((): upstreams.OrderOutcome => timeoutOutcome),
         ]);
-        answered.abort();
+        timeoutController.abort();
         return outcome;
     }
 
