--- a/packages/entry/src/dispatch/admissionDesk.ts
+++ b/packages/entry/src/dispatch/admissionDesk.ts
@@ -63,7 +63,7 @@
             };
             const cancel = (): void => {
                 if (state.queue.cancel(waiter, request.caller)) {
-                    waiter.settle(core.createFailure(createExpired(state.queue.getRetryAfter())));
+                    waiter.settle(core.createFailure(createExpired(state.queue.getRetryAfterMilliseconds())));
                 }
             };
             const decision = state.queue.offer({ ...request, value: waiter }, this.options.clock.now());
@@ -131,7 +131,7 @@
             item.value.settle(core.createSuccess(this.createTicket(state, item.cost)));
         }
         for (const item of state.queue.expire(now)) {
-            item.value.settle(core.createFailure(createExpired(state.queue.getRetryAfter())));
+            item.value.settle(core.createFailure(createExpired(state.queue.getRetryAfterMilliseconds())));
         }
     }
 
--- a/packages/entry/src/dispatch/batchLanes.ts
+++ b/packages/entry/src/dispatch/batchLanes.ts
@@ -113,7 +113,7 @@
         const now = this.options.clock.now();
         const policy = this.options.directory.tryGetFleet()?.policy;
         lane.gate.configure(engine.concurrency, policy?.batchWeight ?? 0);
-        lane.gate.setHomes(now - lane.startedAt < HandOverTime ? 2 : 1);
+        lane.gate.setCoordinatorCount(now - lane.startedAt < HandOverTime ? 2 : 1);
         lane.gate.setInstances(this.options.membership.getLiveInstances().map(instance => instance.id));
         const decision = lane.gate.decide(now);
         this.cancel(engine.id, lane, decision.streamsToCancel);
--- a/packages/entry/src/dispatch/engineChooser.ts
+++ b/packages/entry/src/dispatch/engineChooser.ts
@@ -33,7 +33,7 @@
 
     choose(wish: EngineWish): EngineChoice {
         const candidates = this.listCandidates(wish);
-        this.options.placement.setSharing(this.options.table.getSharing(wish.base));
+        this.options.placement.setSharingInstanceCount(this.options.table.getSharing(wish.base));
         const choice = this.isSuspect(wish)
             ? this.chooseAlone(wish, candidates)
             : this.chooseAmong(wish, candidates, wish.excluded);
@@ -45,14 +45,14 @@
     /** Online requests for a model that this instance may have in flight now. */
     getOnlineLimit(base: core.ModelId): number {
         const engines = this.options.table.listOnline(base);
-        this.options.placement.setSharing(this.options.table.getSharing(base));
+        this.options.placement.setSharingInstanceCount(this.options.table.getSharing(base));
         return this.options.placement.getCapacity(base, core.RequestClass.Online, engines, this.options.clock.now());
     }
 
     /** Whether a place is free where the request's prefix belongs. */
     isLocal(wish: EngineWish): boolean {
         const engines = this.options.table.listOnline(wish.base);
-        return this.options.placement.isLocal(createPlacementRequest(wish), engines, this.options.clock.now());
+        return this.options.placement.hasPrefixReplicaAvailable(createPlacementRequest(wish), engines, this.options.clock.now());
     }
 
     private listCandidates(wish: EngineWish): readonly core.UpstreamDescription[] {
@@ -63,7 +63,7 @@
 
     private isSuspect(wish: EngineWish): boolean {
         const { registry } = this.options.suspects;
-        const { verdict } = registry.judge(wish.profile.fingerprint, this.options.clock.now());
+        const { verdict } = registry.getDecision(wish.profile.fingerprint, this.options.clock.now());
         return verdict !== decisions.SuspectVerdict.Usual;
     }
 
