--- a/packages/entry/src/dispatch/admissionDesk.ts
+++ b/packages/entry/src/dispatch/admissionController.ts
@@ -1,36 +1,37 @@
 import * as core from "@boragedale/core";
 import * as decisions from "@boragedale/decisions";
 
-/** A request that asks to run, and the queue that it belongs to. */
+/** A request for admission, and the queue that it belongs to. */
 export interface AdmissionRequest {
-    /** Names the queue: a model or service, and the class. No class ever waits in another's queue. */
+    /** Name of the queue. There is one for each model or service and request class, so classes don't block each other. */
     readonly queue: string;
     readonly caller: core.CallerId;
     readonly weight: number;
     readonly cost: number;
     readonly deadlineAt: core.MonotonicMilliseconds;
-    /** Requests of this queue that may run here at once; read again whenever one of them could start. */
+    /** Number of requests of this queue that may run on this instance at once. Read again whenever one could start. */
     readonly getLimit: () => number;
-    /** Whether the request costs less than others now, such as one whose prefix is cached where a place is free. */
+    /** Whether to prefer the request now, for example because an upstream with a free slot has its prefix cached. */
     readonly isPreferred?: () => boolean;
 }
 
-/** Leave to run. It must be given back, with the time that running took where that teaches something. */
-export interface Ticket {
-    leave(serviceMilliseconds: number | undefined): void;
+/** Permission to run. The holder must release it. */
+export interface AdmissionTicket {
+    /** Frees the slot. `serviceMilliseconds` is the service time to learn from, or undefined to learn nothing. */
+    release(serviceMilliseconds: number | undefined): void;
 }
 
-export interface AdmissionDeskOptions {
+export interface AdmissionControllerOptions {
     readonly clock: core.Clock;
     readonly random: () => number;
-    /** Time that one unit of cost takes until some have been seen, in milliseconds. */
+    /** Initial estimate of the time that one unit of cost takes, used until requests have been measured. */
     readonly expectedMillisecondsPerCost: number;
     readonly expectedCost: number;
 }
 
 interface Waiter {
     readonly isPreferred: () => boolean;
-    readonly settle: (outcome: core.Outcome<Ticket>) => void;
+    readonly settle: (outcome: core.Outcome<AdmissionTicket>) => void;
 }
 
 interface QueueState {
@@ -39,17 +40,17 @@
     stopTimer: (() => void) | undefined;
 }
 
-/** How often waiting requests are looked at beside the events that free a place, in milliseconds. */
-const LookInterval = 25;
+/** How often queues are checked in addition to the checks when a slot is released. */
+const SweepIntervalMilliseconds = 25;
 
-/** Lets requests run, wait or go, by the decisions of one queue for each model or service and class. */
-export class AdmissionDesk implements Disposable {
+/** Admits, queues or refuses requests, with one queue for each model or service and request class. */
+export class AdmissionController implements Disposable {
     private readonly queues = new Map<string, QueueState>();
 
-    constructor(private readonly options: AdmissionDeskOptions) {}
+    constructor(private readonly options: AdmissionControllerOptions) {}
 
-    /** Resolves once the request may run or is refused; never holds a refusal back. */
-    enter(request: AdmissionRequest, signal: AbortSignal): Promise<core.Outcome<Ticket>> {
+    /** Resolves when the request may run or is refused. A refusal is returned as soon as it is decided. */
+    admit(request: AdmissionRequest, signal: AbortSignal): Promise<core.Outcome<AdmissionTicket>> {
         const state = this.getQueue(request);
         state.getLimit = request.getLimit;
         state.queue.setLimit(request.getLimit());
@@ -63,7 +64,7 @@
             };
             const cancel = (): void => {
                 if (state.queue.cancel(waiter, request.caller)) {
-                    waiter.settle(core.createFailure(createExpired(state.queue.getRetryAfter())));
+                    waiter.settle(core.createFailure(createOverloaded(state.queue.getRetryAfter())));
                 }
             };
             const decision = state.queue.offer({ ...request, value: waiter }, this.options.clock.now());
@@ -72,11 +73,11 @@
                     resolve(core.createSuccess(this.createTicket(state, request.cost)));
                     break;
                 case decisions.AdmissionKind.Refused:
-                    resolve(core.createFailure(createUnreachable(decision)));
+                    resolve(core.createFailure(createDeadlineUnreachable(decision)));
                     break;
                 case decisions.AdmissionKind.Queued:
                     signal.addEventListener("abort", cancel, { once: true });
-                    this.watch(state);
+                    this.scheduleSweep(state);
                     break;
             }
         });
@@ -106,20 +107,20 @@
         return state;
     }
 
-    private createTicket(state: QueueState, cost: number): Ticket {
+    private createTicket(state: QueueState, cost: number): AdmissionTicket {
         let isHeld = true;
         return {
-            leave: serviceMilliseconds => {
+            release: serviceMilliseconds => {
                 if (isHeld) {
                     isHeld = false;
                     state.queue.complete(cost, serviceMilliseconds);
-                    this.startWaiting(state);
+                    this.startWaiters(state);
                 }
             },
         };
     }
 
-    private startWaiting(state: QueueState): void {
+    private startWaiters(state: QueueState): void {
         if (state.queue.getWaitingCount() === 0) {
             return;
         }
@@ -131,23 +132,26 @@
             item.value.settle(core.createSuccess(this.createTicket(state, item.cost)));
         }
         for (const item of state.queue.expire(now)) {
-            item.value.settle(core.createFailure(createExpired(state.queue.getRetryAfter())));
+            item.value.settle(core.createFailure(createOverloaded(state.queue.getRetryAfter())));
         }
     }
 
-    /** Places also get free without a request's end: an upstream comes back, a note adds one, others use less. */
-    private watch(state: QueueState): void {
-        state.stopTimer ??= this.options.clock.schedule(LookInterval, () => {
+    /**
+     * Slots can also become free without a release: an upstream comes back, a release note adds one, or other instances
+     * use fewer.
+     */
+    private scheduleSweep(state: QueueState): void {
+        state.stopTimer ??= this.options.clock.schedule(SweepIntervalMilliseconds, () => {
             state.stopTimer = undefined;
-            this.startWaiting(state);
+            this.startWaiters(state);
             if (state.queue.getWaitingCount() > 0) {
-                this.watch(state);
+                this.scheduleSweep(state);
             }
         });
     }
 }
 
-function createUnreachable(refusal: decisions.AdmissionRefusal): core.Refusal {
+function createDeadlineUnreachable(refusal: decisions.AdmissionRefusal): core.Refusal {
     return core.createRefusal({
         kind: core.RefusalKind.DeadlineUnreachable,
         message: core.messages.DeadlineUnreachable,
@@ -157,7 +161,7 @@
     });
 }
 
-function createExpired(retryAfterMilliseconds: number): core.Refusal {
+function createOverloaded(retryAfterMilliseconds: number): core.Refusal {
     return core.createRefusal({
         kind: core.RefusalKind.Overloaded,
         message: core.messages.Overloaded,
--- a/packages/entry/src/dispatch/attempts.ts
+++ b/packages/entry/src/dispatch/attempts.ts
@@ -1,7 +1,7 @@
 import * as core from "@boragedale/core";
 import * as decisions from "@boragedale/decisions";
 import * as upstreams from "@boragedale/upstreams";
-import type * as batchLanes from "./batchLanes.js";
+import type * as batchCoordinator from "./batchLanes.js";
 import type * as pressureNotifier from "./pressureNotifier.js";
 import type * as requestProfile from "./requestProfile.js";
 import type * as suspectWatch from "./suspectWatch.js";
@@ -11,27 +11,27 @@
     readonly clock: core.Clock;
     readonly placement: decisions.Placement;
     readonly suspects: suspectWatch.SuspectWatch;
-    readonly lanes: batchLanes.BatchLanes;
+    readonly batch: batchCoordinator.BatchCoordinator;
     readonly pressure: pressureNotifier.PressureNotifier;
-    /** Makes the id of one attempt, never used before by anybody: what carries an older one is dropped. */
+    /** Creates the id of an attempt. Ids must be unique across instances, since messages with an old id are dropped. */
     readonly createId: (request: types.CompletionRequest) => string;
 }
 
-/** One try of a request on one upstream, as the decisions are told of it. */
+/** One attempt of a request on one upstream. Its methods report to placement, suspects and batch limits. */
 export interface Attempt extends Disposable {
     readonly id: string;
-    /** Aborted when a batch stream must give way. */
-    readonly givesWay: AbortSignal | undefined;
+    /** Aborted when a batch stream must give way to online work. Undefined for online requests. */
+    readonly giveWaySignal: AbortSignal | undefined;
     onTokens(count: number): void;
     onFinished(): void;
-    /** Resolves when it is known whether the upstream died of it. */
+    /** Resolves when it is known whether the upstream crashed. */
     onFailed(failure: upstreams.EngineFailure): Promise<void>;
 }
 
-/** Tokens between two reports of progress: one a token would cost more than it tells. */
-const ProgressInterval = 16;
+/** Number of tokens between two progress reports. A report for each token would cost too much. */
+const ProgressIntervalTokens = 16;
 
-/** Tells the decisions what becomes of each attempt. */
+/** Starts attempts and reports their progress and outcome to placement, suspects and batch limits. */
 export class Attempts {
     constructor(private readonly options: AttemptsOptions) {}
 
@@ -47,7 +47,7 @@
         this.options.suspects.registry.onSent(id, profile.fingerprint, upstream.id, now);
         const isBatch = request.requestClass === core.RequestClass.Batch;
         const stream = isBatch
-            ? this.options.lanes.start(upstream, id, profile.promptTokens + resumedTokens)
+            ? this.options.batch.start(upstream, id, profile.promptTokens + resumedTokens)
             : undefined;
         this.options.pressure.onChange(upstream.id);
         return new TrackedAttempt(this.options, id, upstream, stream);
@@ -64,10 +64,10 @@
         private readonly options: AttemptsOptions,
         readonly id: string,
         private readonly upstream: core.UpstreamDescription,
-        private readonly stream: batchLanes.BatchStream | undefined,
+        private readonly stream: batchCoordinator.BatchStream | undefined,
     ) {}
 
-    get givesWay(): AbortSignal | undefined {
+    get giveWaySignal(): AbortSignal | undefined {
         return this.stream?.signal;
     }
 
@@ -79,7 +79,7 @@
             this.stream?.onFirstToken();
             this.reportedTokens = count;
         }
-        else if (this.tokens >= this.reportedTokens + ProgressInterval) {
+        else if (this.tokens >= this.reportedTokens + ProgressIntervalTokens) {
             this.reportProgress();
         }
     }
@@ -93,13 +93,13 @@
     }
 
     async onFailed(failure: upstreams.EngineFailure): Promise<void> {
-        // Asked while this attempt still counts as in flight: only what is in flight at a death becomes suspect.
+        // Probe before closing the attempt, since only requests in flight at a crash become suspect.
         const mayHaveDied = failure.kind === upstreams.EngineFailureKind.Broken && failure.status === undefined;
-        const hasDied = mayHaveDied && (await this.options.suspects.onBroken(this.upstream));
+        const hasDied = mayHaveDied && (await this.options.suspects.onConnectionBroken(this.upstream));
         this.close(hasDied ? decisions.SendFailure.Died : toSendFailure(failure));
     }
 
-    /** Given up by its caller, unless it has ended before. */
+    /** Records the attempt as abandoned by its caller, unless it has already ended. */
     [Symbol.dispose](): void {
         this.close(decisions.SendFailure.Abandoned);
     }
@@ -141,7 +141,7 @@
         case upstreams.EngineFailureKind.Busy:
             return decisions.SendFailure.Busy;
         case upstreams.EngineFailureKind.Rejected:
-            // 404: it does not hold the model, so for now it is no place for this kind of request.
+            // 404 means that the engine doesn't hold the model. It is treated as busy, so that placement avoids it for now.
             return failure.status === 404 ? decisions.SendFailure.Busy : decisions.SendFailure.Abandoned;
         case upstreams.EngineFailureKind.Cancelled:
             return decisions.SendFailure.Abandoned;
--- a/packages/entry/src/dispatch/batchLanes.ts
+++ b/packages/entry/src/dispatch/batchLanes.ts
@@ -6,7 +6,7 @@
 import type * as engineTable from "./engineTable.js";
 import type * as directory from "./upstreamDirectory.js";
 
-export interface BatchLanesOptions {
+export interface BatchCoordinatorOptions {
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
     readonly directory: directory.UpstreamDirectory;
@@ -14,194 +14,200 @@
     readonly table: engineTable.EngineTable;
 }
 
-/** One batch stream that an engine runs. */
+/** A batch stream that runs on an engine. */
 export interface BatchStream extends Disposable {
-    /** Aborted when the stream must give way. */
+    /** Aborted when the stream must give way to online work. */
     readonly signal: AbortSignal;
     onFirstToken(): void;
     onProgress(tokens: number, milliseconds: number): void;
 }
 
-/** What this home knows of one engine. */
-interface Lane {
+/** State of an engine that this instance coordinates. */
+interface EngineState {
     readonly gate: decisions.BatchGate;
     readonly streams: Map<string, AbortController>;
-    startedAt: core.MonotonicMilliseconds;
-    lostAt: core.MonotonicMilliseconds | undefined;
+    /** When this instance became the coordinator. */
+    coordinatedSince: core.MonotonicMilliseconds;
+    /** When this instance was first seen to be no longer the coordinator. */
+    releasedAt: core.MonotonicMilliseconds | undefined;
 }
 
-/** How often running batch streams are looked at beside the notices of online work, in milliseconds. */
-const LookInterval = 100;
-/** How long two instances may both take an engine for theirs while the instance list lags, in milliseconds. */
-const HandOverTime = 5_000;
+/** How often running batch streams are checked in addition to the checks on pressure messages. */
+const SweepIntervalMilliseconds = 100;
+/** How long two instances may both coordinate an engine while the instance list lags. */
+const HandOverMilliseconds = 5_000;
 
 /**
- * The batch work of the engines whose home this instance is. Nobody else sends them any, so that one place decides how
- * much an engine holds, although engines know no priorities.
+ * Starts and limits batch streams on the engines that this instance coordinates. Only the coordinator sends batch work to
+ * an engine: engines know no priorities, so a single instance must decide how much batch work an engine holds.
  */
-export class BatchLanes implements Disposable {
-    private readonly lanes = new Map<core.UpstreamId, Lane>();
+export class BatchCoordinator implements Disposable {
+    private readonly states = new Map<core.UpstreamId, EngineState>();
     private stopTimer: (() => void) | undefined;
 
-    constructor(private readonly options: BatchLanesOptions) {}
+    constructor(private readonly options: BatchCoordinatorOptions) {}
 
-    /** Engines of ours that may take a batch stream of the model now. */
-    listOpen(base: core.ModelId): readonly core.UpstreamDescription[] {
+    /** Coordinated engines that may take a batch stream of the model now. */
+    listAccepting(base: core.ModelId): readonly core.UpstreamDescription[] {
         return this.options.table
-            .listHomes()
-            .filter(engine => engine.models.includes(base) && takesBatch(engine) && this.refresh(engine) > 0);
+            .listCoordinated()
+            .filter(engine => engine.models.includes(base) && acceptsBatch(engine) && this.refresh(engine) > 0);
     }
 
-    /** Batch streams that could be started now, over all engines of ours. */
+    /** Number of batch streams that could be started now on all coordinated engines together. */
     getFreeSlots(): number {
-        const engines = this.options.table.listHomes().filter(takesBatch);
+        const engines = this.options.table.listCoordinated().filter(acceptsBatch);
         return engines.reduce((total, engine) => total + this.refresh(engine), 0);
     }
 
     start(engine: core.UpstreamDescription, id: string, promptTokens: number): BatchStream {
-        const lane = this.getLane(engine);
+        const state = this.getState(engine);
         const controller = new AbortController();
-        lane.streams.set(id, controller);
-        lane.gate.onStarted(id, promptTokens);
-        this.watch();
+        state.streams.set(id, controller);
+        state.gate.onStarted(id, promptTokens);
+        this.scheduleSweep();
         return {
             signal: controller.signal,
-            onFirstToken: () => lane.gate.onFirstToken(id),
+            onFirstToken: () => state.gate.onFirstToken(id),
             onProgress: (tokens, milliseconds) =>
-                lane.gate.onProgress(id, tokens, milliseconds, this.options.clock.now()),
+                state.gate.onProgress(id, tokens, milliseconds, this.options.clock.now()),
             [Symbol.dispose]: () => {
-                lane.streams.delete(id);
-                lane.gate.onEnded(id);
+                state.streams.delete(id);
+                state.gate.onEnded(id);
             },
         };
     }
 
-    /** Online work of one instance on one of our engines; streams that must give way are cancelled at once. */
+    /**
+     * Records the online work of one instance on a coordinated engine and cancels the streams that must give way. Returns
+     * the online requests of all instances on the engine, or undefined if this instance doesn't coordinate it.
+     */
     onPressure(upstream: core.UpstreamId, pressure: decisions.OnlinePressure): number | undefined {
-        const engine = this.options.table.listHomes().find(candidate => candidate.id === upstream);
+        const engine = this.options.table.listCoordinated().find(candidate => candidate.id === upstream);
         if (engine === undefined) {
             return undefined;
         }
-        const { gate } = this.getLane(engine);
+        const { gate } = this.getState(engine);
         gate.onOnlinePressure(pressure, this.options.clock.now());
         this.refresh(engine);
         return gate.getOnline(this.options.clock.now());
     }
 
-    /** Shortest time between two tokens that anybody saw on an engine of ours in the last second, in milliseconds. */
+    /** Shortest time between two tokens that any instance reported for the engine in the last second, in milliseconds. */
     tryGetFastestGap(upstream: core.UpstreamId): number | undefined {
-        return this.lanes.get(upstream)?.gate.getFastestGap(this.options.clock.now());
+        return this.states.get(upstream)?.gate.getFastestGap(this.options.clock.now());
     }
 
-    /** What an engine of ours says of its memory: batch must give it back before online requests find none. */
+    /** Applies a load report of a coordinated engine. Batch streams are cancelled before memory runs out for online work. */
     onLoadReport(engine: core.UpstreamDescription, load: upstreams.LoadReport): void {
-        this.getLane(engine).gate.onLoadReport(load, this.options.clock.now());
+        this.getState(engine).gate.onLoadReport(load, this.options.clock.now());
         this.refresh(engine);
     }
 
     getStreamCount(upstream: core.UpstreamId): number {
-        return this.lanes.get(upstream)?.streams.size ?? 0;
+        return this.states.get(upstream)?.streams.size ?? 0;
     }
 
     [Symbol.dispose](): void {
         this.stopTimer?.();
     }
 
-    /** Applies the gate's decision: cancels what must give way and returns how many may start. */
+    /** Applies the gate's decision: cancels the streams that must give way and returns how many may start. */
     private refresh(engine: core.UpstreamDescription): number {
-        const lane = this.getLane(engine);
+        const state = this.getState(engine);
         const now = this.options.clock.now();
         const policy = this.options.directory.tryGetFleet()?.policy;
-        lane.gate.configure(engine.concurrency, policy?.batchWeight ?? 0);
-        lane.gate.setHomes(now - lane.startedAt < HandOverTime ? 2 : 1);
-        lane.gate.setInstances(this.options.membership.getLiveInstances().map(instance => instance.id));
-        const decision = lane.gate.decide(now);
-        this.cancel(engine.id, lane, decision.streamsToCancel);
+        state.gate.configure(engine.concurrency, policy?.batchWeight ?? 0);
+        state.gate.setHomes(now - state.coordinatedSince < HandOverMilliseconds ? 2 : 1);
+        state.gate.setInstances(this.options.membership.getLiveInstances().map(instance => instance.id));
+        const decision = state.gate.decide(now);
+        this.cancel(engine.id, state, decision.streamsToCancel);
         return decision.mayStart;
     }
 
-    private cancel(upstream: core.UpstreamId, lane: Lane, streams: readonly string[]): void {
+    private cancel(upstream: core.UpstreamId, state: EngineState, streams: readonly string[]): void {
         if (streams.length === 0) {
             return;
         }
         this.options.telemetry.record(telemetry.events.BatchShifted, { upstream, text: `${streams.length} streams` });
-        streams.forEach(id => lane.streams.get(id)?.abort());
+        streams.forEach(id => state.streams.get(id)?.abort());
     }
 
-    private getLane(engine: core.UpstreamDescription): Lane {
-        let lane = this.lanes.get(engine.id);
+    private getState(engine: core.UpstreamDescription): EngineState {
+        let state = this.states.get(engine.id);
         const startedAt = this.options.clock.now();
-        if (lane?.lostAt !== undefined) {
-            lane.lostAt = undefined;
-            lane.startedAt = startedAt;
+        if (state?.releasedAt !== undefined) {
+            state.releasedAt = undefined;
+            state.coordinatedSince = startedAt;
         }
-        if (lane === undefined) {
+        if (state === undefined) {
             const batchWeight = this.options.directory.tryGetFleet()?.policy.batchWeight ?? 0;
             const gate = new decisions.BatchGate({ concurrency: engine.concurrency, batchWeight, startedAt });
-            lane = { gate, streams: new Map(), startedAt, lostAt: undefined };
-            this.lanes.set(engine.id, lane);
+            state = { gate, streams: new Map(), coordinatedSince: startedAt, releasedAt: undefined };
+            this.states.set(engine.id, state);
         }
-        return lane;
+        return state;
     }
 
-    private watch(): void {
-        this.stopTimer ??= this.options.clock.schedule(LookInterval, () => {
+    private scheduleSweep(): void {
+        this.stopTimer ??= this.options.clock.schedule(SweepIntervalMilliseconds, () => {
             this.stopTimer = undefined;
-            this.look();
+            this.sweep();
         });
     }
 
-    private look(): void {
-        const homes = new Map(this.options.table.listHomes().map(engine => [engine.id, engine]));
+    private sweep(): void {
+        const coordinated = new Map(this.options.table.listCoordinated().map(engine => [engine.id, engine]));
         let running = 0;
-        for (const [upstream, lane] of this.lanes) {
-            running += lane.streams.size;
-            const engine = homes.get(upstream);
+        for (const [upstream, state] of this.states) {
+            running += state.streams.size;
+            const engine = coordinated.get(upstream);
             if (engine !== undefined) {
                 this.refresh(engine);
             }
-            else if (!this.isHomeStill(upstream)) {
-                this.retire(upstream, lane);
+            else if (!this.isStillCoordinator(upstream)) {
+                this.retire(upstream, state);
             }
         }
         if (running > 0) {
-            this.watch();
+            this.scheduleSweep();
         }
     }
 
     /**
-     * The engine has another home now, or takes no new work. Streams go on for the time in which both homes count on
-     * half of the places; then those left give way, or the engine would hold more batch than its home knows of.
+     * Handles an engine that this instance no longer coordinates. Streams continue during the hand-over, while
+     * each coordinator uses half of the slots. The remaining ones are then cancelled, because the engine would otherwise
+     * hold more batch work than its new coordinator knows of.
      */
-    private retire(upstream: core.UpstreamId, lane: Lane): void {
+    private retire(upstream: core.UpstreamId, state: EngineState): void {
         const now = this.options.clock.now();
-        lane.lostAt ??= now;
-        if (lane.streams.size === 0) {
-            this.lanes.delete(upstream);
+        state.releasedAt ??= now;
+        if (state.streams.size === 0) {
+            this.states.delete(upstream);
         }
-        else if (now - lane.lostAt >= HandOverTime && this.hasOtherHome(upstream)) {
-            this.cancel(upstream, lane, [...lane.streams.keys()]);
+        else if (now - state.releasedAt >= HandOverMilliseconds && this.hasOtherCoordinator(upstream)) {
+            this.cancel(upstream, state, [...state.streams.keys()]);
         }
     }
 
     /**
-     * An engine that takes no new work while it changes its version keeps its home. Taken as lost, its lane would begin
-     * anew after each change: half of the places for the hand-over that never was, and nothing learned.
+     * Whether this instance still coordinates an engine that may accept no new work, for example during a version change.
+     * Dropping its state would lose the learned limits and start a hand-over period with half of the slots.
      */
-    private isHomeStill(upstream: core.UpstreamId): boolean {
+    private isStillCoordinator(upstream: core.UpstreamId): boolean {
         const fleet = this.options.directory.tryGetFleet();
-        const engine = fleet?.upstreams.find(candidate => candidate.id === upstream);
-        return engine !== undefined && this.options.table.tryGetHome(engine) === this.options.membership.getSelf();
+        const found = fleet?.upstreams.find(candidate => candidate.id === upstream);
+        return found !== undefined && this.options.table.tryGetCoordinator(found) === this.options.membership.getSelf();
     }
 
-    /** False for an engine that is leaving or withdrawn: its streams run to their end. */
-    private hasOtherHome(upstream: core.UpstreamId): boolean {
+    /** False for an engine that is leaving or withdrawn, whose streams run to their end. */
+    private hasOtherCoordinator(upstream: core.UpstreamId): boolean {
         const fleet = this.options.directory.tryGetFleet();
         const engine = fleet?.upstreams.find(candidate => candidate.id === upstream);
         return engine !== undefined && !engine.isLeaving && !this.options.table.isLeaving(upstream);
     }
 }
 
-function takesBatch(engine: core.UpstreamDescription): boolean {
+function acceptsBatch(engine: core.UpstreamDescription): boolean {
     return engine.role !== core.UpstreamRole.Online;
 }
--- a/packages/entry/src/dispatch/callRecovery.ts
+++ b/packages/entry/src/dispatch/callRecovery.ts
@@ -2,12 +2,12 @@
 import * as upstreams from "@boragedale/upstreams";
 import type * as callSender from "./callSender.js";
 
-/** Pauses between two tries to learn an outcome, in milliseconds; after the last the outcome is unknown for good. */
-const SettlePauses = [250, 500, 1_000, 2_000, 4_000, 8_000, 15_000, 30_000, 60_000];
+/** Pauses between attempts to determine an outcome. After the last one the outcome is permanently unknown. */
+const SettlePausesMilliseconds = [250, 500, 1_000, 2_000, 4_000, 8_000, 15_000, 30_000, 60_000];
 
 export enum SettledKind {
     Answered = "Answered",
-    /** The service denies the key, and by the release note nothing of the call can begin there any more. */
+    /** The service denies the key, and by the release note the call can no longer start there. */
     DidNotRun = "DidNotRun",
     Unknown = "Unknown",
 }
@@ -18,9 +18,10 @@
     | { readonly kind: SettledKind.Unknown };
 
 /**
- * Learns the outcome of a call that may have run.
+ * Determines the outcome of a call that may have run.
  *
- * `upstream` is the server that it was sent to; undefined where an instance that is gone had chosen it.
+ * `upstream` is the server that it was sent to. It is undefined if the call was sent by an instance that has since been
+ * removed.
  */
 export async function settle(
     target: callSender.CallTarget,
@@ -46,9 +47,9 @@
     sender: callSender.CallSender,
     clock: core.Clock,
 ): Promise<Settled> {
-    for (const pause of SettlePauses) {
-        const place = sender.takePlace(target.service, new Set());
-        const outcome = place === undefined ? undefined : await sender.sendOnceTo(place, target.call);
+    for (const pause of SettlePausesMilliseconds) {
+        const slot = sender.takeSlot(target.service, new Set());
+        const outcome = slot === undefined ? undefined : await sender.sendOnceTo(slot, target.call);
         if (outcome?.ok === true) {
             return { kind: SettledKind.Answered, response: outcome.response };
         }
@@ -58,9 +59,10 @@
 }
 
 /**
- * "Did not run" is the service's word for now only: a call whose connection broke may still lie unread in its socket,
- * and would run after the denial. So it is believed only once the service has denied the key for as long as the release
- * note says that such a call can still begin; without that word the outcome stays unknown, and nothing is sent twice.
+ * Asks the service whether the call ran. An answer "did not run" alone isn't final: if the connection broke, the call may
+ * still be unread in the server's socket and run later. It is accepted only after the service has denied the key for the
+ * time in which a call can still start, `settleMilliseconds` in the release note. If the note gives no time, the outcome
+ * stays unknown and nothing is sent twice.
  */
 
 async function ask(
@@ -73,7 +75,7 @@
     const path = askPath.replace("{key}", encodeURIComponent(target.call.key));
     const { settleMilliseconds } = target.route;
     let deniedSince: core.MonotonicMilliseconds | undefined;
-    for (const pause of SettlePauses) {
+    for (const pause of SettlePausesMilliseconds) {
         const askedAt = clock.now();
         const answer = await askServers(target, path, upstream, sender);
         if (answer.kind === upstreams.AskOutcomeKind.Ran) {
@@ -91,8 +93,8 @@
 }
 
 /**
- * "It ran" is believed from any server, "it did not run" only from the one that it was sent to: servers that don't
- * share their records would else make a call run on a second one. Where the server isn't known, all must say so.
+ * Accepts "ran" from any server, but "did not run" only from the server that the call was sent to, because servers may not
+ * share their records and the call would otherwise run on a second one. If that server isn't known, all must deny the key.
  */
 async function askServers(
     target: callSender.CallTarget,
--- a/packages/entry/src/dispatch/callSender.ts
+++ b/packages/entry/src/dispatch/callSender.ts
@@ -8,7 +8,7 @@
 import type * as types from "./types.js";
 import * as directory from "./upstreamDirectory.js";
 
-/** A call and what the release note says of its route. */
+/** A call with its service and route from the release note. */
 export interface CallTarget {
     readonly service: core.ServiceDescription;
     readonly route: core.RouteDescription;
@@ -17,7 +17,7 @@
 
 export enum SentKind {
     Answered = "Answered",
-    /** No byte left: not run. */
+    /** No byte was sent, so the call has not run. */
     NotSent = "NotSent",
     MayHaveRun = "MayHaveRun",
 }
@@ -35,21 +35,21 @@
     readonly retryBudget: decisions.RetryBudget;
 }
 
-/** Part of a service's places that batch items may use, so that an online call always finds one. */
+/** Share of a service's slots that batch items may use, so that online calls still find one. */
 const BatchShare = 0.5;
-/** Sendings of a repeatable call, the first included. */
+/** Number of times that a repeatable call is sent, including the first. */
 const MaximumAttempts = 3;
 /**
- * A call that may run once is waited for at least this long, in milliseconds, however short its caller's deadline: an
- * answer that comes late is still its result, while a connection closed too early leaves an unknown outcome.
+ * Minimum timeout of a call that may run only once, however short its caller's deadline. A late answer is still recorded
+ * as the result, while closing the connection too early leaves the outcome unknown.
  */
-const MinimumCallTimeout = 30_000;
+const MinimumCallTimeoutMilliseconds = 30_000;
 
-/** Sends calls to the servers of a service and tells strictly whether they can have run. */
+/** Sends calls to the servers of a service and reports whether a failed call may have run. */
 export class CallSender {
     constructor(private readonly options: CallSenderOptions) {}
 
-    /** Sends a call that may run any number of times, on other servers too when one fails. */
+    /** Sends a call that may run any number of times, and retries it on other servers. */
     async sendRepeatable(
         service: core.ServiceDescription,
         call: types.ServiceCall,
@@ -63,13 +63,13 @@
             if (attempt > 0 && !this.options.retryBudget.tryTake()) {
                 break;
             }
-            const place = this.takePlace(service, excluded);
-            if (place === undefined) {
+            const slot = this.takeSlot(service, excluded);
+            if (slot === undefined) {
                 break;
             }
-            excluded.add(place.server.id);
+            excluded.add(slot.server.id);
             const request = createRequest(call, false, Math.max(1, call.deadlineAt - this.options.clock.now()));
-            const outcome = await this.sendTo(place, call, request, limit.signal);
+            const outcome = await this.sendTo(slot, call, request, limit.signal);
             if (outcome.ok && !isBusy(outcome.response.status)) {
                 return core.createSuccess(outcome.response);
             }
@@ -89,50 +89,51 @@
     }
 
     /**
-     * Sends a call that may run once: to another server only while no byte of it has left. `isAllowed` is asked right
-     * before each sending: a process that was paused since the start was recorded may have lost it to another instance.
+     * Sends a call that may run only once. It goes to another server only if no byte of it was sent to the one before.
+     * `isAllowed` is checked right before each attempt, because another instance may have taken the call over while this
+     * process was paused.
      */
     async sendOnce(target: CallTarget, isAllowed: () => boolean): Promise<Sent> {
         const excluded = new Set<core.UpstreamId>();
         for (;;) {
-            const place = this.takePlace(target.service, excluded);
-            if (place === undefined || !isAllowed()) {
-                place?.release(decisions.CallSignal.Neutral);
+            const slot = this.takeSlot(target.service, excluded);
+            if (slot === undefined || !isAllowed()) {
+                slot?.release(decisions.CallSignal.Neutral);
                 return { kind: SentKind.NotSent, refusal: refusals.createOverloaded(core.RunCertainty.NotRun) };
             }
-            excluded.add(place.server.id);
-            const outcome = await this.sendOnceTo(place, target.call);
+            excluded.add(slot.server.id);
+            const outcome = await this.sendOnceTo(slot, target.call);
             if (outcome.ok) {
                 return { kind: SentKind.Answered, response: outcome.response };
             }
             if (outcome.kind === upstreams.ServiceFailureKind.MayHaveRun) {
-                return { kind: SentKind.MayHaveRun, upstream: place.server.id };
+                return { kind: SentKind.MayHaveRun, upstream: slot.server.id };
             }
         }
     }
 
-    sendOnceTo(place: serverLimits.ServerPlace, call: types.ServiceCall): Promise<upstreams.ServiceOutcome> {
-        const rest = call.deadlineAt - this.options.clock.now();
-        const request = createRequest(call, true, Math.max(MinimumCallTimeout, rest));
-        // Never cancelled: a closed connection would make an unknown outcome out of a call that is about to end.
-        return this.sendTo(place, call, request, new AbortController().signal);
+    sendOnceTo(slot: serverLimits.ServerSlot, call: types.ServiceCall): Promise<upstreams.ServiceOutcome> {
+        const remaining = call.deadlineAt - this.options.clock.now();
+        const request = createRequest(call, true, Math.max(MinimumCallTimeoutMilliseconds, remaining));
+        // Not cancelled with the caller: closing the connection would make the outcome of a running call unknown.
+        return this.sendTo(slot, call, request, new AbortController().signal);
     }
 
-    /** Takes a place on a server that takes new work; `sendOnceTo` gives it back. */
-    takePlace(
+    /** Takes a slot on a server that accepts new work. `sendOnceTo` releases it. */
+    takeSlot(
         service: core.ServiceDescription,
         excluded: ReadonlySet<core.UpstreamId>,
-    ): serverLimits.ServerPlace | undefined {
+    ): serverLimits.ServerSlot | undefined {
         return this.options.limits.tryTake(this.listServers(service), excluded);
     }
 
-    /** Calls of a class that this instance may run on the service at once. */
+    /** Number of calls of a class that this instance may run on the service at once. */
     getLimit(service: core.ServiceDescription, requestClass: core.RequestClass): number {
         const total = this.options.limits.getTotal(this.listServers(service));
         return requestClass === core.RequestClass.Online ? total : Math.floor(total * BatchShare);
     }
 
-    /** Every server that may hold the outcome of a key, leaving ones included. */
+    /** All servers that may know the outcome of a key, including those that are leaving. */
     listAskable(service: core.ServiceDescription): readonly core.UpstreamDescription[] {
         const fleet = this.options.directory.tryGetFleet();
         return fleet?.upstreams.filter(upstream => service.upstreams.includes(upstream.id)) ?? [];
@@ -149,22 +150,22 @@
     }
 
     private async sendTo(
-        place: serverLimits.ServerPlace,
+        slot: serverLimits.ServerSlot,
         call: types.ServiceCall,
         request: upstreams.ServiceRequest,
         signal: AbortSignal,
     ): Promise<upstreams.ServiceOutcome> {
-        let told = decisions.CallSignal.Neutral;
-        using use = this.options.directory.useService(place.server, call.requestClass);
-        const subject = { request: call.id, caller: call.caller, upstream: place.server.id };
+        let callSignal = decisions.CallSignal.Neutral;
+        using use = this.options.directory.useService(slot.server, call.requestClass);
+        const subject = { request: call.id, caller: call.caller, upstream: slot.server.id };
         this.options.telemetry.record(telemetry.events.RequestPlaced, subject);
         try {
             const outcome = await use.client.call(request, signal);
-            told = signal.aborted ? told : toCallSignal(outcome);
+            callSignal = signal.aborted ? callSignal : toCallSignal(outcome);
             return outcome;
         }
         finally {
-            place.release(told);
+            slot.release(callSignal);
         }
     }
 }
@@ -176,7 +177,7 @@
     return isBusy(outcome.response.status) ? decisions.CallSignal.Overload : decisions.CallSignal.Success;
 }
 
-/** A service that is busy has not run the call, and another server may. */
+/** Whether the status means that the server was busy. It has not run the call, and another server may run it. */
 function isBusy(status: number): boolean {
     return status === 429 || status === 503;
 }
--- a/packages/entry/src/dispatch/completionRunner.ts
+++ b/packages/entry/src/dispatch/completionRunner.ts
@@ -2,11 +2,11 @@
 import * as decisions from "@boragedale/decisions";
 import * as telemetry from "@boragedale/telemetry";
 import * as upstreams from "@boragedale/upstreams";
-import type * as admissionDesk from "./admissionDesk.js";
+import type * as admissionController from "./admissionController.js";
 import type * as attempts from "./attempts.js";
 import * as deadline from "./deadline.js";
 import type * as engineChooser from "./engineChooser.js";
-import * as keptAnswers from "./keptAnswers.js";
+import * as partialAnswers from "./partialAnswers.js";
 import * as refusals from "./refusals.js";
 import * as requestProfile from "./requestProfile.js";
 import type * as suspectWatch from "./suspectWatch.js";
@@ -19,30 +19,30 @@
     readonly directory: directory.UpstreamDirectory;
     readonly chooser: engineChooser.EngineChooser;
     readonly attempts: attempts.Attempts;
-    readonly admission: admissionDesk.AdmissionDesk;
+    readonly admission: admissionController.AdmissionController;
     readonly suspects: suspectWatch.SuspectWatch;
     readonly retryBudget: decisions.RetryBudget;
 }
 
-/** Attempts of one request, the first included. Each goes to another upstream while there is one. */
+/** Number of attempts of one request, including the first. Each uses another upstream if there is one. */
 const MaximumAttempts = 4;
-/** How long an admitted request waits for a place that another one took first, in milliseconds. */
-const PlacePatience = 500;
-const PlacePause = 25;
-/** When a batch item that gave way should come back, in milliseconds; a burst lasts seconds. */
-const GiveWayRetryAfter = 250;
+/** How long an admitted request waits for a slot if another request took the free one first. */
+const SlotWaitMilliseconds = 500;
+const SlotRetryMilliseconds = 25;
+/** Retry delay for a batch item that gave way to online work. A burst lasts seconds. */
+const GiveWayRetryAfterMilliseconds = 250;
 
-/** What the caller has of the answer so far, and what went wrong on the way. */
+/** The part of the answer that the caller has received so far, and the failed attempts. */
 interface Progress {
     readonly excluded: Set<core.UpstreamId>;
     attempts: number;
     text: string;
     tokens: number;
-    /** An engine may have worked on it. */
+    /** Whether an engine may have run the request. */
     mayHaveRun: boolean;
 }
 
-/** A request on its way, with all that belongs to it. */
+/** State of one request while it runs. */
 interface Run {
     readonly request: types.CompletionRequest;
     readonly profile: requestProfile.RequestProfile;
@@ -53,13 +53,13 @@
     readonly progress: Progress;
 }
 
-/** The tokens of an answer, and how it ended. */
+/** Yields the tokens of an answer and returns its closing event. */
 export type CompletionTokens = AsyncGenerator<types.TokenEvent, types.EndEvent>;
 
 enum AttemptEndKind {
     Whole = "Whole",
     Failed = "Failed",
-    /** A batch stream made room for online work. */
+    /** The batch stream was cancelled to make room for online work. */
     GaveWay = "GaveWay",
 }
 
@@ -67,20 +67,20 @@
     | { readonly kind: AttemptEndKind.Whole; readonly event: types.EndEvent }
     | { readonly kind: AttemptEndKind.Failed | AttemptEndKind.GaveWay; readonly failure: upstreams.EngineFailure };
 
-/** Runs completions: admits, places, retries and resumes them until the answer is whole or is given up. */
+/** Runs completions: admits, places, retries and resumes them until the answer is complete or has to be refused. */
 export class CompletionRunner {
-    private readonly kept = new keptAnswers.KeptAnswers();
+    private readonly partials = new partialAnswers.PartialAnswers();
 
     constructor(private readonly options: CompletionRunnerOptions) {}
 
     /**
-     * Yields the tokens and returns the closing event. It is not yielded: a consumer that has it stops reading, and what
-     * stands behind a `yield` (the place given back, the attempt closed) would never be done.
+     * Yields the tokens and returns the closing event. The closing event isn't yielded because a consumer stops reading after
+     * it, and the code after a `yield` (releasing the slot, closing the attempt) would never run.
      */
     async *run(request: types.CompletionRequest, signal: AbortSignal): CompletionTokens {
         const fleet = this.options.directory.tryGetFleet();
         if (fleet === undefined) {
-            return this.refuse(request, refusals.createNoNote());
+            return this.refuse(request, refusals.createNoReleaseNote());
         }
         const base = directory.tryGetBaseModel(fleet, request.model);
         if (base === undefined) {
@@ -99,24 +99,27 @@
         if (!admitted.ok) {
             return this.refuse(request, admitted.refusal);
         }
-        const leave = (): void => admitted.value.leave(undefined);
-        // A consumer that just stops reading never gets this function to its end, but its deadline comes.
-        limit.signal.addEventListener("abort", leave, { once: true });
+        const releaseTicket = (): void => admitted.value.release(undefined);
+        // If the consumer stops reading, this function never completes, so the deadline releases the slot.
+        limit.signal.addEventListener("abort", releaseTicket, { once: true });
         const startedAt = this.options.clock.now();
         try {
             const end = yield* this.runAdmitted(run);
             if (end.kind === types.StreamEventKind.Finished) {
-                admitted.value.leave(this.options.clock.now() - startedAt);
+                admitted.value.release(this.options.clock.now() - startedAt);
             }
             return end;
         }
         finally {
-            leave();
+            releaseTicket();
         }
     }
 
-    /** Batch has its limit from the gates of the upstreams' homes and its order from the jobs; it doesn't queue here. */
-    private async admit(run: Run, fleet: core.FleetDescription): Promise<core.Outcome<admissionDesk.Ticket>> {
+    /** Batch items don't queue here: the engines' coordinators limit them, and the jobs determine their order. */
+    private async admit(
+        run: Run,
+        fleet: core.FleetDescription,
+    ): Promise<core.Outcome<admissionController.AdmissionTicket>> {
         const { request } = run;
         const quarantine = this.tryGetQuarantine(run);
         if (quarantine !== undefined) {
@@ -124,10 +127,10 @@
         }
         this.options.retryBudget.onRequest();
         if (request.requestClass === core.RequestClass.Batch) {
-            return core.createSuccess({ leave: () => undefined });
+            return core.createSuccess({ release: () => undefined });
         }
         const caller = fleet.callers.find(candidate => candidate.id === request.caller);
-        return this.options.admission.enter(
+        return this.options.admission.admit(
             {
                 queue: `model/${run.base}`,
                 caller: request.caller,
@@ -135,7 +138,7 @@
                 cost: run.profile.cost,
                 deadlineAt: request.deadlineAt,
                 getLimit: () => this.options.chooser.getOnlineLimit(run.base),
-                isPreferred: () => this.options.chooser.isLocal(createWish(run)),
+                isPreferred: () => this.options.chooser.isLocal(createRequirements(run)),
             },
             run.limit.signal,
         );
@@ -143,67 +146,68 @@
 
     private async *runAdmitted(run: Run): CompletionTokens {
         const { request, progress } = run;
-        yield* this.takeUpKept(run);
+        yield* this.resumePartial(run);
         for (;;) {
-            const place = await this.choosePlace(run);
-            if (!place.ok) {
-                return this.refuse(request, place.refusal);
+            const chosen = await this.chooseUpstream(run);
+            if (!chosen.ok) {
+                return this.refuse(request, chosen.refusal);
             }
-            const end = yield* this.runOn(place.value, run);
+            const end = yield* this.runOn(chosen.value, run);
             if (end.kind === AttemptEndKind.Whole) {
                 this.options.telemetry.record(telemetry.events.RequestFinished, createSubject(request));
                 return end.event;
             }
-            const refusal = end.kind === AttemptEndKind.GaveWay ? this.keep(run) : this.tryGetRefusal(end.failure, run);
+            const refusal =
+                end.kind === AttemptEndKind.GaveWay ? this.savePartial(run) : this.tryGetRefusal(end.failure, run);
             if (refusal !== undefined) {
                 return this.refuse(request, refusal);
             }
-            progress.excluded.add(place.value.id);
-            this.recordRetry(run, place.value, end.failure);
+            progress.excluded.add(chosen.value.id);
+            this.recordRetry(run, chosen.value, end.failure);
         }
     }
 
-    /** A batch item that gave way before goes on behind the text it had. */
-    private *takeUpKept(run: Run): Generator<types.TokenEvent> {
+    /** Continues a batch item that gave way earlier after the text that was saved. */
+    private *resumePartial(run: Run): Generator<types.TokenEvent> {
         if (run.request.requestClass === core.RequestClass.Online) {
             return;
         }
-        const kept = this.kept.take(run.request.id);
-        if (kept !== undefined) {
-            run.progress.text = kept.text;
-            run.progress.tokens = kept.tokens;
+        const partial = this.partials.take(run.request.id);
+        if (partial !== undefined) {
+            run.progress.text = partial.text;
+            run.progress.tokens = partial.tokens;
             run.progress.mayHaveRun = true;
-            yield { kind: types.StreamEventKind.Token, text: kept.text };
+            yield { kind: types.StreamEventKind.Token, text: partial.text };
         }
     }
 
-    private keep(run: Run): core.Refusal {
+    private savePartial(run: Run): core.Refusal {
         const { text, tokens } = run.progress;
         if (tokens > 0) {
-            this.kept.keep(run.request.id, { text, tokens });
+            this.partials.save(run.request.id, { text, tokens });
         }
-        return refusals.createOverloaded(getCertainty(run.progress), GiveWayRetryAfter);
+        return refusals.createOverloaded(getCertainty(run.progress), GiveWayRetryAfterMilliseconds);
     }
 
-    /** An answer that its caller has a part of is worth waiting for a place until its deadline. */
-    private async choosePlace(run: Run): Promise<core.Outcome<core.UpstreamDescription>> {
+    /** Waits for a slot. If the caller has already received a part of the answer, waits until the deadline. */
+    private async chooseUpstream(run: Run): Promise<core.Outcome<core.UpstreamDescription>> {
         const { request, progress, limit } = run;
         const isOnline = request.requestClass === core.RequestClass.Online;
         const hasPart = progress.tokens > 0 && isOnline;
-        const patience = isOnline ? PlacePatience : 0;
-        const giveUpAt = hasPart ? request.deadlineAt : this.options.clock.now() + patience;
+        const waitMilliseconds = isOnline ? SlotWaitMilliseconds : 0;
+        const giveUpAt = hasPart ? request.deadlineAt : this.options.clock.now() + waitMilliseconds;
         for (;;) {
             const quarantine = this.tryGetQuarantine(run);
             if (quarantine !== undefined) {
                 return core.createFailure(quarantine);
             }
-            const choice = this.options.chooser.choose(createWish(run));
+            const choice = this.options.chooser.choose(createRequirements(run));
             if (choice.upstream !== undefined) {
                 return core.createSuccess(choice.upstream);
             }
             if (limit.signal.aborted || this.options.clock.now() >= giveUpAt) {
                 if (!isOnline) {
-                    this.keep(run);
+                    this.savePartial(run);
                 }
                 const certainty = getCertainty(progress);
                 return core.createFailure(
@@ -212,7 +216,7 @@
                         : refusals.createOverloaded(certainty, choice.retryAfterMilliseconds),
                 );
             }
-            await this.options.clock.sleep(PlacePause, limit.signal);
+            await this.options.clock.sleep(SlotRetryMilliseconds, limit.signal);
         }
     }
 
@@ -235,8 +239,9 @@
         this.options.telemetry.record(telemetry.events.RequestPlaced, createSubject(request, upstream.id));
         const resumeAfter = progress.tokens === 0 ? undefined : { text: progress.text, tokens: progress.tokens };
         const engineRequest = { id: attempt.id, model: request.model, body: request.body, resumeAfter };
-        const { givesWay } = attempt;
-        const signal = givesWay === undefined ? run.limit.signal : AbortSignal.any([run.limit.signal, givesWay]);
+        const { giveWaySignal } = attempt;
+        const signal =
+            giveWaySignal === undefined ? run.limit.signal : AbortSignal.any([run.limit.signal, giveWaySignal]);
         for await (const event of use.client.run(engineRequest, signal)) {
             switch (event.kind) {
                 case upstreams.EngineEventKind.Accepted:
@@ -260,7 +265,7 @@
                     await attempt.onFailed(event.failure);
                     return {
                         kind:
-                            givesWay?.aborted === true && !run.limit.signal.aborted
+                            giveWaySignal?.aborted === true && !run.limit.signal.aborted
                                 ? AttemptEndKind.GaveWay
                                 : AttemptEndKind.Failed,
                         failure: event.failure,
@@ -271,7 +276,7 @@
         return { kind: AttemptEndKind.Failed, failure: { kind: upstreams.EngineFailureKind.Broken, text } };
     }
 
-    /** Undefined where the request goes on elsewhere. */
+    /** Returns undefined if the request should be retried on another engine. */
     private tryGetRefusal(failure: upstreams.EngineFailure, run: Run): core.Refusal | undefined {
         const { progress, limit } = run;
         const certainty = getCertainty(progress);
@@ -282,7 +287,7 @@
             this.options.telemetry.record(telemetry.events.RequestAbandoned, createSubject(run.request));
             return refusals.createUpstreamFailed("cancelled by its caller", certainty);
         }
-        // An engine that doesn't hold the model (yet, or any more) says 404; another one may.
+        // 404 means that the engine doesn't hold the model (yet, or any more). Another one may.
         if (failure.kind === upstreams.EngineFailureKind.Rejected && failure.status !== 404) {
             return refusals.createBodyInvalid(failure.text, certainty);
         }
@@ -293,8 +298,9 @@
     }
 
     /**
-     * The budget bounds work that is done twice. A request that no engine took costs nothing again, and a stream that
-     * its caller has a part of resumes where it stood: refusing that one would lose an answer.
+     * The retry budget limits repeated work. It doesn't apply to a request that no engine has received, since a retry repeats
+     * nothing, or to a stream that its caller has a part of, since it resumes where it stopped and a refusal would lose the
+     * answer.
      */
     private mayRetry(failure: upstreams.EngineFailure, progress: Progress): boolean {
         const isFree = failure.kind === upstreams.EngineFailureKind.NotSent || progress.tokens > 0;
@@ -314,7 +320,7 @@
     }
 }
 
-function createWish(run: Run): engineChooser.EngineWish {
+function createRequirements(run: Run): engineChooser.EngineRequirements {
     return {
         base: run.base,
         requestClass: run.request.requestClass,
@@ -323,7 +329,7 @@
     };
 }
 
-/** Busy and NotSent run nothing, and a rejected request was judged before it ran. */
+/** A request that failed as NotSent or Busy has not run, and one that was rejected failed validation before it ran. */
 function mayHaveRunAfter(kind: upstreams.EngineFailureKind): boolean {
     switch (kind) {
         case upstreams.EngineFailureKind.NotSent:
@@ -341,7 +347,7 @@
     return progress.mayHaveRun ? core.RunCertainty.MayHaveRun : core.RunCertainty.NotRun;
 }
 
-/** A resumed engine counts what it was given as prompt; to the caller it is part of the answer. */
+/** Corrects the usage of a resumed run. The engine counts the resumed text as prompt, but it is part of the answer. */
 function createFinish(reason: string, usage: upstreams.Usage, resumedTokens: number): types.EndEvent {
     return {
         kind: types.StreamEventKind.Finished,
--- a/packages/entry/src/dispatch/deadline.ts
+++ b/packages/entry/src/dispatch/deadline.ts
@@ -1,7 +1,7 @@
 import * as events from "node:events";
 import type * as core from "@boragedale/core";
 
-/** Aborts when the outer signal does or when the deadline passes; tells which. */
+/** An abort signal that follows an outer signal and a deadline. `isPassed` returns whether the deadline has passed. */
 export class Deadline implements Disposable {
     private readonly controller = new AbortController();
     private readonly stopTimer: () => void;
@@ -17,7 +17,7 @@
             this.hasPassed = true;
             this.abort();
         });
-        // One signal may end all items of a chunk; node would take its listeners for a leak.
+        // All items of a chunk may share the signal. Without this, Node.js would warn about a listener leak.
         events.EventEmitter.setMaxListeners(0, outer);
         outer.addEventListener("abort", this.abort, { once: true });
         if (outer.aborted) {
--- a/packages/entry/src/dispatch/engineChooser.ts
+++ b/packages/entry/src/dispatch/engineChooser.ts
@@ -1,6 +1,6 @@
 import * as core from "@boragedale/core";
 import * as decisions from "@boragedale/decisions";
-import type * as batchLanes from "./batchLanes.js";
+import type * as batchCoordinator from "./batchLanes.js";
 import type * as engineTable from "./engineTable.js";
 import type * as requestProfile from "./requestProfile.js";
 import type * as suspectWatch from "./suspectWatch.js";
@@ -10,16 +10,16 @@
     readonly placement: decisions.Placement;
     readonly suspects: suspectWatch.SuspectWatch;
     readonly table: engineTable.EngineTable;
-    readonly lanes: batchLanes.BatchLanes;
+    readonly batch: batchCoordinator.BatchCoordinator;
 }
 
-/** What a request needs of its upstream. */
-export interface EngineWish {
-    /** The model itself, where an adapter of it was asked for. */
+/** What a request needs from an engine. */
+export interface EngineRequirements {
+    /** The base model, also when the request names an adapter of it. */
     readonly base: core.ModelId;
     readonly requestClass: core.RequestClass;
     readonly profile: requestProfile.RequestProfile;
-    /** Upstreams that failed it already. */
+    /** Upstreams on which the request has already failed. */
     readonly excluded: ReadonlySet<core.UpstreamId>;
 }
 
@@ -27,72 +27,78 @@
     | { readonly upstream: core.UpstreamDescription }
     | { readonly upstream: undefined; readonly retryAfterMilliseconds: number };
 
-/** Puts placement, the batch gates and the suspects' lane together into one choice. */
+/** Chooses an engine for a request from placement, the batch limits and the rules for suspect requests. */
 export class EngineChooser {
     constructor(private readonly options: EngineChooserOptions) {}
 
-    choose(wish: EngineWish): EngineChoice {
-        const candidates = this.listCandidates(wish);
-        this.options.placement.setSharing(this.options.table.getSharing(wish.base));
-        const choice = this.isSuspect(wish)
-            ? this.chooseAlone(wish, candidates)
-            : this.chooseAmong(wish, candidates, wish.excluded);
-        // A lone upstream is tried again, on a new connection, rather than not at all.
-        const isExhausted = choice.upstream === undefined && wish.excluded.size > 0;
-        return isExhausted && !this.isSuspect(wish) ? this.chooseAmong(wish, candidates, new Set()) : choice;
+    choose(requirements: EngineRequirements): EngineChoice {
+        const candidates = this.listCandidates(requirements);
+        this.options.placement.setSharing(this.options.table.getInstancesPerEngine(requirements.base));
+        const choice = this.isSuspect(requirements)
+            ? this.chooseForSuspect(requirements, candidates)
+            : this.chooseAmong(requirements, candidates, requirements.excluded);
+        // When every candidate has failed, retry them on a new connection instead of giving up.
+        const isExhausted = choice.upstream === undefined && requirements.excluded.size > 0;
+        return isExhausted && !this.isSuspect(requirements)
+            ? this.chooseAmong(requirements, candidates, new Set())
+            : choice;
     }
 
-    /** Online requests for a model that this instance may have in flight now. */
+    /** Number of online requests for a model that this instance may have in flight now. */
     getOnlineLimit(base: core.ModelId): number {
         const engines = this.options.table.listOnline(base);
-        this.options.placement.setSharing(this.options.table.getSharing(base));
+        this.options.placement.setSharing(this.options.table.getInstancesPerEngine(base));
         return this.options.placement.getCapacity(base, core.RequestClass.Online, engines, this.options.clock.now());
     }
 
-    /** Whether a place is free where the request's prefix belongs. */
-    isLocal(wish: EngineWish): boolean {
-        const engines = this.options.table.listOnline(wish.base);
-        return this.options.placement.isLocal(createPlacementRequest(wish), engines, this.options.clock.now());
+    /** Whether the engine that is preferred for the request's prefix has a free slot. */
+    isLocal(requirements: EngineRequirements): boolean {
+        const engines = this.options.table.listOnline(requirements.base);
+        return this.options.placement.isLocal(createPlacementRequest(requirements), engines, this.options.clock.now());
     }
 
-    private listCandidates(wish: EngineWish): readonly core.UpstreamDescription[] {
-        return wish.requestClass === core.RequestClass.Batch
-            ? this.options.lanes.listOpen(wish.base)
-            : this.options.table.listOnline(wish.base);
+    private listCandidates(requirements: EngineRequirements): readonly core.UpstreamDescription[] {
+        return requirements.requestClass === core.RequestClass.Batch
+            ? this.options.batch.listAccepting(requirements.base)
+            : this.options.table.listOnline(requirements.base);
     }
 
-    private isSuspect(wish: EngineWish): boolean {
+    private isSuspect(requirements: EngineRequirements): boolean {
         const { registry } = this.options.suspects;
-        const { verdict } = registry.judge(wish.profile.fingerprint, this.options.clock.now());
+        const { verdict } = registry.judge(requirements.profile.fingerprint, this.options.clock.now());
         return verdict !== decisions.SuspectVerdict.Usual;
     }
 
     /**
-     * A suspect's upstream depends on nothing but the suspect and the fleet, so that all instances that its caller sends
-     * it to choose the same one: two of them, each running it alone on another upstream, would risk two.
+     * Chooses the engine for a suspect request, one that may have crashed an engine. The choice depends only on the
+     * request's fingerprint and the fleet, so that all instances choose the same engine. If two instances ran the request
+     * on different engines, it could crash both.
      */
-    private chooseAlone(wish: EngineWish, candidates: readonly core.UpstreamDescription[]): EngineChoice {
+    private chooseForSuspect(
+        requirements: EngineRequirements,
+        candidates: readonly core.UpstreamDescription[],
+    ): EngineChoice {
         const { registry } = this.options.suspects;
-        const ids = candidates.map(candidate => candidate.id).filter(id => !wish.excluded.has(id));
-        for (const id of decisions.rankByRendezvous(wish.profile.fingerprint, ids)) {
-            const alone = candidates.filter(candidate => candidate.id === id);
-            const choice = this.chooseAmong(wish, alone, new Set());
+        const ids = candidates.map(candidate => candidate.id).filter(id => !requirements.excluded.has(id));
+        for (const id of decisions.rankByRendezvous(requirements.profile.fingerprint, ids)) {
+            const single = candidates.filter(candidate => candidate.id === id);
+            const choice = this.chooseAmong(requirements, single, new Set());
             if (choice.upstream !== undefined) {
-                return registry.maySend(wish.profile.fingerprint, id, this.options.clock.now())
+                return registry.maySend(requirements.profile.fingerprint, id, this.options.clock.now())
                     ? choice
-                    : { upstream: undefined, retryAfterMilliseconds: SuspectRetryAfter };
+                    : { upstream: undefined, retryAfterMilliseconds: SuspectRetryAfterMilliseconds };
             }
         }
-        return { upstream: undefined, retryAfterMilliseconds: SuspectRetryAfter };
+        return { upstream: undefined, retryAfterMilliseconds: SuspectRetryAfterMilliseconds };
     }
 
     private chooseAmong(
-        wish: EngineWish,
+        requirements: EngineRequirements,
         candidates: readonly core.UpstreamDescription[],
         exclude: ReadonlySet<core.UpstreamId>,
     ): EngineChoice {
         const decision = this.options.placement.choose(
-            { ...createPlacementRequest(wish), exclude },
+            { ...createPlacementRequest(requirements), exclude },
             candidates,
             this.options.clock.now(),
         );
@@ -102,14 +108,14 @@
     }
 }
 
-function createPlacementRequest(wish: EngineWish): decisions.PlacementRequest {
+function createPlacementRequest(requirements: EngineRequirements): decisions.PlacementRequest {
     return {
-        model: wish.base,
-        prefixHash: wish.profile.prefixHash,
-        requestClass: wish.requestClass,
-        exclude: wish.excluded,
+        model: requirements.base,
+        prefixHash: requirements.profile.prefixHash,
+        requestClass: requirements.requestClass,
+        exclude: requirements.excluded,
     };
 }
 
-/** A suspect that has to wait for another one's end, in milliseconds. */
-const SuspectRetryAfter = 500;
+/** Retry delay for a suspect request that must wait until another request on its engine has ended. */
+const SuspectRetryAfterMilliseconds = 500;
--- a/packages/entry/src/dispatch/engineTable.ts
+++ b/packages/entry/src/dispatch/engineTable.ts
@@ -8,20 +8,20 @@
     readonly membership: protocol.Membership;
 }
 
-/** The engines that this instance may use, worked out again when the note or the fleet changes. */
+/** The engines that this instance may use. Recomputed when the release note or the fleet changes. */
 export class EngineTable implements Disposable {
     private fleet: core.FleetDescription | undefined;
     private readonly online = new Map<core.ModelId, readonly core.UpstreamDescription[]>();
-    private homes: readonly core.UpstreamDescription[] = [];
-    /** Engines that say themselves that they are leaving, whatever the note says, and until when that is believed. */
+    private coordinated: readonly core.UpstreamDescription[] = [];
+    /** Engines that report themselves as leaving, whatever the release note says, with the time when the report expires. */
     private readonly leaving = new Map<core.UpstreamId, core.MonotonicMilliseconds>();
     private readonly stopListening: () => void;
 
     constructor(private readonly options: EngineTableOptions) {
-        this.stopListening = options.membership.onChange(() => this.forget());
+        this.stopListening = options.membership.onChange(() => this.invalidate());
     }
 
-    /** Engines for online work on a model: the part of the fleet's that this instance keeps connections to. */
+    /** Engines for online work on a model: the subset of the fleet that this instance keeps connections to. */
     listOnline(base: core.ModelId): readonly core.UpstreamDescription[] {
         this.refresh();
         let engines = this.online.get(base);
@@ -32,29 +32,32 @@
         return engines;
     }
 
-    /** Engines whose batch work only this instance sends. */
-    listHomes(): readonly core.UpstreamDescription[] {
+    /** Engines that this instance coordinates. No other instance sends them batch work. */
+    listCoordinated(): readonly core.UpstreamDescription[] {
         this.refresh();
-        return this.homes;
+        return this.coordinated;
     }
 
-    isHomeOf(upstream: core.UpstreamId): boolean {
-        return this.listHomes().some(engine => engine.id === upstream);
+    isCoordinatorOf(upstream: core.UpstreamId): boolean {
+        return this.listCoordinated().some(engine => engine.id === upstream);
     }
 
-    tryGetHome(upstream: core.UpstreamDescription): core.InstanceId | undefined {
+    tryGetCoordinator(upstream: core.UpstreamDescription): core.InstanceId | undefined {
         return this.options.membership.tryGetHolderIn(upstream.dataCentre, `upstream/${upstream.id}`);
     }
 
-    /** How many instances send online work to each engine, about: sets the part of its places that is ours. */
-    getSharing(base: core.ModelId): number {
+    /**
+     * The approximate number of instances that send online work to each engine. It determines how many of an engine's
+     * slots this instance may use.
+     */
+    getInstancesPerEngine(base: core.ModelId): number {
         const all = this.listAll(base).length;
         const used = this.listOnline(base).length;
         const instances = Math.max(1, this.options.membership.getLiveInstances().length);
         return all === 0 ? 1 : Math.max(1, (instances * used) / all);
     }
 
-    /** Notes what an engine says of itself; believed until `until`, since a later word may be lost. */
+    /** Records whether an engine reports that it is leaving. Expires at `until`, because a later report may be lost. */
     setLeaving(upstream: core.UpstreamId, isLeaving: boolean, until: core.MonotonicMilliseconds): void {
         const wasLeaving = this.leaving.has(upstream);
         if (isLeaving) {
@@ -64,11 +67,11 @@
             this.leaving.delete(upstream);
         }
         if (isLeaving !== wasLeaving) {
-            this.forget();
+            this.invalidate();
         }
     }
 
-    /** Drops what is no longer believed. */
+    /** Drops expired leaving reports. */
     expire(now: core.MonotonicMilliseconds): void {
         for (const [upstream, until] of this.leaving) {
             if (now >= until) {
@@ -85,7 +88,7 @@
         this.stopListening();
     }
 
-    private forget(): void {
+    private invalidate(): void {
         this.fleet = undefined;
     }
 
@@ -97,12 +100,12 @@
         this.fleet = fleet;
         this.online.clear();
         const self = this.options.membership.getSelf();
-        this.homes = (fleet?.upstreams ?? []).filter(
+        this.coordinated = (fleet?.upstreams ?? []).filter(
             upstream =>
                 upstream.kind === core.UpstreamKind.Engine &&
                 !upstream.isLeaving &&
                 !this.leaving.has(upstream.id) &&
-                this.tryGetHome(upstream) === self,
+                this.tryGetCoordinator(upstream) === self,
         );
     }
 
--- a/packages/entry/src/dispatch/fleetDispatcher.ts
+++ b/packages/entry/src/dispatch/fleetDispatcher.ts
@@ -5,9 +5,9 @@
 import type * as telemetry from "@boragedale/telemetry";
 import type * as upstreams from "@boragedale/upstreams";
 import type * as work from "@boragedale/work";
-import * as admissionDesk from "./admissionDesk.js";
+import * as admissionController from "./admissionController.js";
 import * as attempts from "./attempts.js";
-import * as batchLanes from "./batchLanes.js";
+import * as batchCoordinator from "./batchLanes.js";
 import * as callSender from "./callSender.js";
 import * as completionRunner from "./completionRunner.js";
 import * as engineChooser from "./engineChooser.js";
@@ -27,24 +27,24 @@
     readonly ledger: work.CallLedger;
     readonly membership: protocol.Membership;
     readonly peers: protocol.PeerNetwork;
-    /** From 0 up to 1; a test gives a seeded one. */
+    /** Returns a number from 0 up to 1. Defaults to `Math.random`; tests pass a deterministic one. */
     readonly random?: () => number;
 }
 
-/** Time that a token takes until some have been seen, in milliseconds. */
+/** Initial estimate of the time per token, used until tokens have been measured. */
 const ExpectedMillisecondsPerToken = 5;
-/** Time that a call of a plain service takes until some have been seen, in milliseconds. */
+/** Initial estimate of the time per call of a plain service, used until calls have been measured. */
 const ExpectedMillisecondsPerCall = 20;
 
-/** The way of every request of one instance to the fleet's upstreams. */
+/** Dispatches all requests of one instance to the fleet's upstreams. */
 export class FleetDispatcher extends types.Dispatcher {
     private readonly directory: directory.UpstreamDirectory;
     private readonly table: engineTable.EngineTable;
     private readonly placement: decisions.Placement;
-    private readonly lanes: batchLanes.BatchLanes;
+    private readonly batch: batchCoordinator.BatchCoordinator;
     private readonly pressure: pressureNotifier.PressureNotifier;
-    private readonly completionAdmission: admissionDesk.AdmissionDesk;
-    private readonly serviceAdmission: admissionDesk.AdmissionDesk;
+    private readonly completionAdmission: admissionController.AdmissionController;
+    private readonly serviceAdmission: admissionController.AdmissionController;
     private readonly completions: completionRunner.CompletionRunner;
     private readonly services: serviceCaller.ServiceCaller;
     private readonly poller: upstreamPoller.UpstreamPoller;
@@ -61,19 +61,19 @@
         const shared = { clock, telemetry: options.telemetry, directory: this.directory };
         this.table = new engineTable.EngineTable({ directory: this.directory, membership });
         this.placement = new decisions.Placement({ random });
-        this.lanes = new batchLanes.BatchLanes({ ...shared, membership, table: this.table });
+        this.batch = new batchCoordinator.BatchCoordinator({ ...shared, membership, table: this.table });
         this.pressure = new pressureNotifier.PressureNotifier({
             clock,
             read: upstream => this.placement.createPressure(membership.getSelf(), upstream, clock.now()),
             send: (upstream, pressure) => this.sendPressure(upstream, pressure),
         });
-        this.completionAdmission = new admissionDesk.AdmissionDesk({
+        this.completionAdmission = new admissionController.AdmissionController({
             clock,
             random,
             expectedMillisecondsPerCost: ExpectedMillisecondsPerToken,
-            expectedCost: requestProfile.UsualTokens,
+            expectedCost: requestProfile.DefaultExpectedTokens,
         });
-        this.serviceAdmission = new admissionDesk.AdmissionDesk({
+        this.serviceAdmission = new admissionController.AdmissionController({
             clock,
             random,
             expectedMillisecondsPerCost: ExpectedMillisecondsPerCall,
@@ -85,11 +85,11 @@
             ...shared,
             table: this.table,
             placement: this.placement,
-            lanes: this.lanes,
+            batch: this.batch,
             membership,
             peers,
         });
-        this.stopListening = options.notes.onNote(note => this.forgetAbsent(note.fleet));
+        this.stopListening = options.notes.onNote(note => this.removeAbsent(note.fleet));
         peers.handle(protocol.MessageKind.OnlinePressure, (message, from) => this.onPressure(message, from));
         peers.handle(protocol.MessageKind.OnlineTotal, message => this.onTotal(message));
     }
@@ -110,11 +110,11 @@
         call: types.ServiceCall,
         signal: AbortSignal,
     ): Promise<core.Outcome<upstreams.ServiceResponse>> {
-        return this.countWhile(this.services.call(call, signal));
+        return this.countInProgress(this.services.call(call, signal));
     }
 
     override getFreeBatchSlots(): number {
-        return this.lanes.getFreeSlots();
+        return this.batch.getFreeSlots();
     }
 
     override getInProgress(): number {
@@ -125,7 +125,7 @@
         this.stopListening();
         this.poller[Symbol.dispose]();
         this.pressure[Symbol.dispose]();
-        this.lanes[Symbol.dispose]();
+        this.batch[Symbol.dispose]();
         this.table[Symbol.dispose]();
         this.completionAdmission[Symbol.dispose]();
         this.serviceAdmission[Symbol.dispose]();
@@ -133,17 +133,17 @@
     }
 
     private createCompletionRunner(shared: SharedParts): completionRunner.CompletionRunner {
-        const { placement, table, lanes } = this;
+        const { placement, table, batch } = this;
         const suspects = new suspectWatch.SuspectWatch({ ...shared, peers: this.options.peers });
         return new completionRunner.CompletionRunner({
             ...shared,
             suspects,
-            chooser: new engineChooser.EngineChooser({ clock: shared.clock, placement, suspects, table, lanes }),
+            chooser: new engineChooser.EngineChooser({ clock: shared.clock, placement, suspects, table, batch }),
             attempts: new attempts.Attempts({
                 clock: shared.clock,
                 placement,
                 suspects,
-                lanes,
+                batch,
                 pressure: this.pressure,
                 createId: request => `${request.id}.${this.attemptPrefix}${(this.attemptCount++).toString(36)}`,
             }),
@@ -161,32 +161,32 @@
             ledger: this.options.ledger,
             admission: this.serviceAdmission,
             retryBudget,
-            runBehind: task => void this.countWhile(task).catch(() => undefined),
+            runInBackground: task => void this.countInProgress(task).catch(() => undefined),
         });
     }
 
     private sendPressure(upstream: core.UpstreamId, pressure: pressureNotifier.Pressure): void {
         const description = this.directory.tryGetFleet()?.upstreams.find(candidate => candidate.id === upstream);
-        const home = description === undefined ? undefined : this.table.tryGetHome(description);
+        const coordinator = description === undefined ? undefined : this.table.tryGetCoordinator(description);
         const { membership, peers } = this.options;
-        if (home === undefined) {
+        if (coordinator === undefined) {
             return;
         }
-        if (home === membership.getSelf()) {
-            const total = this.lanes.onPressure(upstream, { ...pressure, instance: home });
-            const gap = this.lanes.tryGetFastestGap(upstream);
+        if (coordinator === membership.getSelf()) {
+            const total = this.batch.onPressure(upstream, { ...pressure, instance: coordinator });
+            const gap = this.batch.tryGetFastestGap(upstream);
             this.placement.onOnlineTotal(upstream, total ?? pressure.inFlight, this.options.clock.now(), gap);
             return;
         }
         const { inFlight, queued, fastestGap } = pressure;
         const kind = protocol.MessageKind.OnlinePressure as const;
         const message: protocol.OnlinePressure = { kind, upstream, inFlight, queued, fastestGap };
-        peers.notify(home, message, protocol.Lane.Control);
+        peers.notify(coordinator, message, protocol.Lane.Control);
     }
 
     private async onPressure(message: protocol.OnlinePressure, from: core.InstanceId): Promise<undefined> {
         const { upstream, inFlight, queued, fastestGap } = message;
-        const total = this.lanes.onPressure(upstream, { instance: from, inFlight, queued, fastestGap });
+        const total = this.batch.onPressure(upstream, { instance: from, inFlight, queued, fastestGap });
         const isLeaving = this.table.isLeaving(upstream);
         if (total !== undefined || isLeaving) {
             const reply = {
@@ -194,7 +194,7 @@
                 upstream,
                 inFlight: total ?? 0,
                 isLeaving,
-                fastestGap: this.lanes.tryGetFastestGap(upstream),
+                fastestGap: this.batch.tryGetFastestGap(upstream),
             };
             this.options.peers.notify(from, reply, protocol.Lane.Control);
         }
@@ -203,18 +203,18 @@
 
     private async onTotal(message: protocol.OnlineTotal): Promise<undefined> {
         const now = this.options.clock.now();
-        this.table.setLeaving(message.upstream, message.isLeaving, now + upstreamPoller.LeavingLife);
+        this.table.setLeaving(message.upstream, message.isLeaving, now + upstreamPoller.LeavingExpiryMilliseconds);
         if (!message.isLeaving) {
             this.placement.onOnlineTotal(message.upstream, message.inFlight, now, message.fastestGap);
         }
         return undefined;
     }
 
-    private forgetAbsent(fleet: core.FleetDescription): void {
+    private removeAbsent(fleet: core.FleetDescription): void {
         this.placement.retain(new Set(fleet.upstreams.map(upstream => upstream.id)));
     }
 
-    private async countWhile<T>(task: Promise<T>): Promise<T> {
+    private async countInProgress<T>(task: Promise<T>): Promise<T> {
         this.inProgress++;
         try {
             return await task;
@@ -225,7 +225,7 @@
     }
 }
 
-/** What every part of the dispatch needs. */
+/** Dependencies that the parts of the dispatcher share. */
 interface SharedParts {
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
--- a/packages/entry/src/dispatch/index.ts
+++ b/packages/entry/src/dispatch/index.ts
@@ -1,4 +1,4 @@
-/** Dispatch: the way of a request between the faces and the upstreams. */
+/** Dispatch takes requests from the endpoints to the upstreams. */
 export * from "./types.js";
 export * from "./fleetDispatcher.js";
 export * from "./itemExecutor.js";
--- a/packages/entry/src/dispatch/itemExecutor.ts
+++ b/packages/entry/src/dispatch/itemExecutor.ts
@@ -82,7 +82,7 @@
             path: `/${segments.join("/")}`,
             headers: { "content-type": "application/json" },
             body: item.body === undefined ? undefined : Buffer.from(JSON.stringify(item.body)),
-            // The same item always has the same key, so that it runs once whichever instance gets to it.
+            // An item always has the same key, so that it runs once even if several instances execute it.
             key: createItemId(item, context),
             deadlineAt: this.toMonotonic(context.deadlineAt),
         };
@@ -139,7 +139,7 @@
     }
 }
 
-/** What a refusal of one try means for the item. */
+/** Maps the refusal of one attempt to the outcome of the item. */
 function toItemOutcome(refusal: core.Refusal): work.ItemOutcome {
     const retryAfterMilliseconds = refusal.retryAfterMilliseconds ?? 1_000;
     switch (refusal.kind) {
--- a/packages/entry/src/dispatch/keptAnswers.ts
+++ b/packages/entry/src/dispatch/partialAnswers.ts
@@ -1,29 +1,29 @@
 import type * as upstreams from "@boragedale/upstreams";
 
-/** Characters kept over all answers; about as many bytes. */
-const MostCharacters = 16_000_000;
+/** Limit on the characters of all answers together. They take about as many bytes. */
+const MaximumCharacters = 16_000_000;
 
 /**
- * Text of batch answers that gave way to online work, until they resume. Losing one costs the work of generating it
- * again and nothing else, so the oldest are dropped when there are too many.
+ * Stores the text of batch answers that gave way to online work until they resume. A lost answer only has to be generated
+ * again, so the oldest are dropped when the limit is reached.
  */
-export class KeptAnswers {
+export class PartialAnswers {
     private readonly answers = new Map<string, upstreams.ResumePoint>();
     private characters = 0;
 
-    keep(request: string, answer: upstreams.ResumePoint): void {
+    save(request: string, answer: upstreams.ResumePoint): void {
         this.take(request);
         this.answers.set(request, answer);
         this.characters += answer.text.length;
         for (const oldest of this.answers.keys()) {
-            if (this.characters <= MostCharacters) {
+            if (this.characters <= MaximumCharacters) {
                 break;
             }
             this.take(oldest);
         }
     }
 
-    /** Takes the answer out: whoever resumes it keeps it again if it gives way once more. */
+    /** Removes and returns the answer. The caller saves it again if the request gives way once more. */
     take(request: string): upstreams.ResumePoint | undefined {
         const answer = this.answers.get(request);
         if (answer !== undefined) {
--- a/packages/entry/src/dispatch/pressureNotifier.ts
+++ b/packages/entry/src/dispatch/pressureNotifier.ts
@@ -3,7 +3,7 @@
 export interface Pressure {
     readonly inFlight: number;
     readonly queued: number;
-    /** Shortest time between two tokens seen there in the last second, in milliseconds. */
+    /** Shortest time between two tokens that were seen on the upstream in the last second, in milliseconds. */
     readonly fastestGap?: number;
 }
 
@@ -13,24 +13,24 @@
     readonly send: (upstream: core.UpstreamId, pressure: Pressure) => void;
 }
 
-/** Shortest time between two rounds of notices, in milliseconds: less than a step of an engine. */
-const RoundInterval = 20;
-/** The home forgets what it isn't told again for five seconds. */
-const RepeatInterval = 2_000;
+/** Minimum time between two rounds of messages. Shorter than one step of an engine. */
+const RoundIntervalMilliseconds = 20;
+/** How often unchanged pressure is sent again. A coordinator drops reports that aren't repeated for five seconds. */
+const RepeatIntervalMilliseconds = 2_000;
 
-interface Told {
+interface SentPressure {
     readonly pressure: Pressure;
     readonly at: core.MonotonicMilliseconds;
 }
 
 /**
- * Tells the homes of upstreams how much online work this instance has there. A rise is told at once, since batch
- * streams must give way while the burst is young; but rounds are 20 ms apart and small changes are left out, since a
- * notice for each request would make the control traffic grow with the load.
+ * Reports this instance's online work on each upstream to the upstream's coordinator. An increase is sent at once, because
+ * batch streams must give way early in a burst. Rounds are at least 20 ms apart and small changes are not sent, because a
+ * message for each request would make the control traffic grow with the load.
  */
 export class PressureNotifier implements Disposable {
     private readonly changed = new Set<core.UpstreamId>();
-    private readonly told = new Map<core.UpstreamId, Told>();
+    private readonly lastSent = new Map<core.UpstreamId, SentPressure>();
     private lastRoundAt = -Infinity;
     private stopTimer: (() => void) | undefined;
     private stopRepeating: (() => void) | undefined;
@@ -38,19 +38,19 @@
     constructor(private readonly options: PressureNotifierOptions) {}
 
     onChange(upstream: core.UpstreamId): void {
-        if (!this.isWorthTelling(upstream)) {
+        if (!this.isSignificant(upstream)) {
             return;
         }
         this.changed.add(upstream);
         if (this.stopTimer !== undefined) {
             return;
         }
-        const rest = this.lastRoundAt + RoundInterval - this.options.clock.now();
-        if (rest <= 0) {
+        const remaining = this.lastRoundAt + RoundIntervalMilliseconds - this.options.clock.now();
+        if (remaining <= 0) {
             this.sendRound();
         }
         else {
-            this.stopTimer = this.options.clock.schedule(rest, () => this.sendRound());
+            this.stopTimer = this.options.clock.schedule(remaining, () => this.sendRound());
         }
     }
 
@@ -64,44 +64,44 @@
         this.lastRoundAt = this.options.clock.now();
         const upstreams = [...this.changed];
         this.changed.clear();
-        upstreams.forEach(upstream => this.tell(upstream));
+        upstreams.forEach(upstream => this.sendPressure(upstream));
     }
 
-    private tell(upstream: core.UpstreamId): void {
+    private sendPressure(upstream: core.UpstreamId): void {
         const pressure = this.options.read(upstream);
         if (pressure.inFlight + pressure.queued === 0) {
-            this.told.delete(upstream);
+            this.lastSent.delete(upstream);
         }
         else {
-            this.told.set(upstream, { pressure, at: this.options.clock.now() });
+            this.lastSent.set(upstream, { pressure, at: this.options.clock.now() });
             this.scheduleRepeat();
         }
         this.options.send(upstream, pressure);
     }
 
     private scheduleRepeat(): void {
-        this.stopRepeating ??= this.options.clock.schedule(RepeatInterval / 2, () => {
+        this.stopRepeating ??= this.options.clock.schedule(RepeatIntervalMilliseconds / 2, () => {
             this.stopRepeating = undefined;
-            const oldest = this.options.clock.now() - RepeatInterval;
-            for (const [upstream, told] of this.told) {
-                if (told.at <= oldest) {
-                    this.tell(upstream);
+            const oldest = this.options.clock.now() - RepeatIntervalMilliseconds;
+            for (const [upstream, sent] of this.lastSent) {
+                if (sent.at <= oldest) {
+                    this.sendPressure(upstream);
                 }
             }
-            if (this.told.size > 0) {
+            if (this.lastSent.size > 0) {
                 this.scheduleRepeat();
             }
         });
     }
 
-    /** Any rise by a quarter, the first and the last request, and a fall by half. */
-    private isWorthTelling(upstream: core.UpstreamId): boolean {
-        const now = sum(this.options.read(upstream));
-        const before = sum(this.told.get(upstream)?.pressure);
+    /** Whether to send a change: the first or the last request, an increase by a quarter, or a decrease by half. */
+    private isSignificant(upstream: core.UpstreamId): boolean {
+        const now = getTotal(this.options.read(upstream));
+        const before = getTotal(this.lastSent.get(upstream)?.pressure);
         return now === 0 ? before > 0 : now >= before * 1.25 || now <= before / 2;
     }
 }
 
-function sum(pressure: Pressure | undefined): number {
+function getTotal(pressure: Pressure | undefined): number {
     return pressure === undefined ? 0 : pressure.inFlight + pressure.queued;
 }
--- a/packages/entry/src/dispatch/refusals.ts
+++ b/packages/entry/src/dispatch/refusals.ts
@@ -1,16 +1,16 @@
 import * as core from "@boragedale/core";
 
-/** Come back after this long when nothing better is known, in milliseconds. */
-const DefaultRetryAfter = 1_000;
-/** An outage of the key-value service is seldom over sooner, in milliseconds. */
-const KeyValueRetryAfter = 2_000;
+/** Retry delay when no better estimate is known. */
+const DefaultRetryAfterMilliseconds = 1_000;
+/** Retry delay while the key-value service is down. Its outages rarely end sooner. */
+const KeyValueRetryAfterMilliseconds = 2_000;
 
-export function createNoNote(): core.Refusal {
+export function createNoReleaseNote(): core.Refusal {
     return core.createRefusal({
         kind: core.RefusalKind.NoNoteInForce,
         message: core.messages.NoNoteInForce,
         certainty: core.RunCertainty.NotRun,
-        retryAfterMilliseconds: DefaultRetryAfter,
+        retryAfterMilliseconds: DefaultRetryAfterMilliseconds,
     });
 }
 
@@ -34,7 +34,7 @@
 
 export function createOverloaded(
     certainty: core.RunCertainty,
-    retryAfterMilliseconds = DefaultRetryAfter,
+    retryAfterMilliseconds = DefaultRetryAfterMilliseconds,
 ): core.Refusal {
     return core.createRefusal({
         kind: core.RefusalKind.Overloaded,
@@ -60,7 +60,7 @@
         message: core.messages.UpstreamFailed,
         values: [text],
         certainty,
-        retryAfterMilliseconds: DefaultRetryAfter,
+        retryAfterMilliseconds: DefaultRetryAfterMilliseconds,
     });
 }
 
@@ -69,7 +69,7 @@
         kind: core.RefusalKind.DeadlinePassed,
         message: core.messages.DeadlinePassed,
         certainty,
-        retryAfterMilliseconds: DefaultRetryAfter,
+        retryAfterMilliseconds: DefaultRetryAfterMilliseconds,
     });
 }
 
@@ -95,7 +95,7 @@
         kind: core.RefusalKind.CallInFlight,
         message: core.messages.CallInFlight,
         certainty: core.RunCertainty.MayHaveRun,
-        retryAfterMilliseconds: DefaultRetryAfter,
+        retryAfterMilliseconds: DefaultRetryAfterMilliseconds,
     });
 }
 
@@ -112,7 +112,7 @@
         kind: core.RefusalKind.KeyValueDown,
         message: core.messages.KeyValueDown,
         certainty: core.RunCertainty.NotRun,
-        retryAfterMilliseconds: KeyValueRetryAfter,
+        retryAfterMilliseconds: KeyValueRetryAfterMilliseconds,
     });
 }
 
--- a/packages/entry/src/dispatch/requestProfile.ts
+++ b/packages/entry/src/dispatch/requestProfile.ts
@@ -1,25 +1,28 @@
 import * as decisions from "@boragedale/decisions";
 import type * as types from "./types.js";
 
-/** What the decisions need to know of a completion. */
+/** Properties of a completion that admission and placement use. */
 export interface RequestProfile {
-    /** The same for requests that would run the same work, on every instance; how a crashing one is recognised. */
+    /** Identifies requests with the same model and messages on every instance. Used to recognise requests that crash engines. */
     readonly fingerprint: string;
-    /** The same for prompts that an engine's prefix cache can share. */
+    /** Equal for prompts that can share an entry of an engine's prefix cache. */
     readonly prefixHash: string;
-    /** A rough length of the prompt. */
+    /** Estimated length of the prompt. */
     readonly promptTokens: number;
-    /** Expected work, in tokens to generate. */
+    /** Expected number of tokens to generate. */
     readonly cost: number;
 }
 
-/** Characters of each message that count for the prefix: past these, prompts that share a beginning share a cache. */
+/** Characters of each message that count for the prefix. Prompts that differ only after these share a prefix. */
 const PrefixCharacters = 1_024;
-/** Tokens that an answer without a limit is taken to have. */
-export const UsualTokens = 256;
-/** Limits far above any answer are common; counting them in full would refuse requests that end early. */
-const MostTokens = 1_024;
-const LeastTokens = 16;
+/** Expected tokens of an answer whose request sets no limit. */
+export const DefaultExpectedTokens = 256;
+/**
+ * Highest expected cost. Requests often set a limit far above the length of their answers, and counting it in full would
+ * refuse requests that end early.
+ */
+const MaximumExpectedTokens = 1_024;
+const MinimumExpectedTokens = 16;
 const CharactersPerToken = 4;
 
 export function createProfile(request: types.CompletionRequest): RequestProfile {
@@ -29,13 +32,17 @@
         fingerprint: `${request.model}/${decisions.hashText(text)}`,
         prefixHash: String(decisions.hashText(readPrefix(messages))),
         promptTokens: Math.ceil(text.length / CharactersPerToken),
-        cost: Math.min(MostTokens, Math.max(LeastTokens, readTokenLimit(request.body) ?? UsualTokens)),
+        cost: Math.min(
+            MaximumExpectedTokens,
+            Math.max(MinimumExpectedTokens, readTokenLimit(request.body) ?? DefaultExpectedTokens),
+        ),
     };
 }
 
 /**
- * The system's text and the first turn: a conversation keeps its upstream from turn to turn, while the system's text
- * alone would put all of an application's callers together.
+ * Returns the beginnings of the first two messages, usually the system message and the first user message. A conversation
+ * so keeps its upstream from turn to turn. The system message alone would send all users of an application to the same
+ * upstream.
  */
 function readPrefix(messages: readonly unknown[]): string {
     return messages
--- a/packages/entry/src/dispatch/routes.ts
+++ b/packages/entry/src/dispatch/routes.ts
@@ -1,6 +1,6 @@
 import type * as core from "@boragedale/core";
 
-/** The route that a call falls under: the longest path prefix, and of those the one that names the method. */
+/** Finds the route of a call: the longest matching path prefix, preferring a route that names the method over `*`. */
 export function tryGetRoute(
     service: core.ServiceDescription,
     method: string,
@@ -21,8 +21,8 @@
 }
 
 /**
- * The path as the service will understand it. One that a service might read as another route (`/cards/../bookings`,
- * `//bookings`) is not routed at all: it could slip a call that may run once past the ledger under a repeatable route.
+ * Returns the decoded path, or undefined for a path that a service might resolve to another route (`/cards/../bookings`,
+ * `//bookings`). Such a path could match a repeatable route and so bypass the ledger for a call that may run only once.
  */
 function tryNormalize(path: string): string | undefined {
     const pathname = path.split(/[?#]/, 1)[0] ?? path;
@@ -40,7 +40,7 @@
     return isPlain && !decoded.includes("\\") ? decoded : undefined;
 }
 
-/** Whole segments only: `/bookings` covers `/bookings/7` but not `/bookingsearch`. */
+/** Compares whole segments: `/bookings` covers `/bookings/7` but not `/bookingsearch`. */
 function isBelow(path: string, prefix: string): boolean {
     const base = prefix.endsWith("/") ? prefix.slice(0, -1) : prefix;
     return path === base || path === prefix || path.startsWith(`${base}/`);
--- a/packages/entry/src/dispatch/serverLimits.ts
+++ b/packages/entry/src/dispatch/serverLimits.ts
@@ -1,40 +1,40 @@
 import type * as core from "@boragedale/core";
 import * as decisions from "@boragedale/decisions";
 
-/** A place on a server of a plain service, to be given back with what the call told. */
-export interface ServerPlace {
+/** A slot for one call on a server of a plain service. The holder must release it with the outcome of the call. */
+export interface ServerSlot {
     readonly server: core.UpstreamDescription;
     release(signal: decisions.CallSignal): void;
 }
 
-/** First limit of a server, where the release note allows as much. */
+/** Initial concurrency limit of a server. The concurrency in the release note may lower it. */
 const InitialLimit = 16;
 
-/** The calls that this instance runs on each server of a plain service, within a limit learned for each. */
+/** Limits the calls that this instance runs on each server of a plain service. Each server has its own learned limit. */
 export class ServerLimits {
     private readonly limits = new Map<core.UpstreamId, decisions.ConcurrencyLimit>();
 
     constructor(private readonly clock: core.Clock) {}
 
-    /** Takes a place on the server that is least in use; undefined where all are full. */
+    /** Takes a slot on the server with the lowest utilisation. Returns undefined if all are full. */
     tryTake(
         servers: readonly core.UpstreamDescription[],
         excluded: ReadonlySet<core.UpstreamId>,
-    ): ServerPlace | undefined {
+    ): ServerSlot | undefined {
         const free = servers.filter(server => !excluded.has(server.id));
         const byUse = free
             .map(server => ({ server, limit: this.getLimit(server) }))
             .sort((left, right) => getUse(left.limit) - getUse(right.limit));
         const chosen = byUse.find(candidate => candidate.limit.tryAcquire());
-        return chosen === undefined ? undefined : this.createPlace(chosen.server, chosen.limit);
+        return chosen === undefined ? undefined : this.createSlot(chosen.server, chosen.limit);
     }
 
-    /** Calls that may run here at once over all the servers. */
+    /** Number of calls that this instance may run on all the servers together. */
     getTotal(servers: readonly core.UpstreamDescription[]): number {
         return servers.reduce((total, server) => total + this.getLimit(server).getLimit(), 0);
     }
 
-    private createPlace(server: core.UpstreamDescription, limit: decisions.ConcurrencyLimit): ServerPlace {
+    private createSlot(server: core.UpstreamDescription, limit: decisions.ConcurrencyLimit): ServerSlot {
         const startedAt = this.clock.now();
         return {
             server,
--- a/packages/entry/src/dispatch/serviceCaller.ts
+++ b/packages/entry/src/dispatch/serviceCaller.ts
@@ -4,7 +4,7 @@
 import type * as telemetry from "@boragedale/telemetry";
 import type * as upstreams from "@boragedale/upstreams";
 import * as work from "@boragedale/work";
-import type * as admissionDesk from "./admissionDesk.js";
+import type * as admissionController from "./admissionController.js";
 import * as callRecovery from "./callRecovery.js";
 import * as callSender from "./callSender.js";
 import * as refusals from "./refusals.js";
@@ -18,23 +18,23 @@
     readonly directory: directory.UpstreamDirectory;
     readonly sender: callSender.CallSender;
     readonly ledger: work.CallLedger;
-    readonly admission: admissionDesk.AdmissionDesk;
+    readonly admission: admissionController.AdmissionController;
     readonly retryBudget: decisions.RetryBudget;
-    /** Tasks that go on behind an answer; drain waits for them. */
-    readonly runBehind: (task: Promise<unknown>) => void;
+    /** Tracks a task that may continue after its caller got an answer. A graceful stop waits for it. */
+    readonly runInBackground: (task: Promise<unknown>) => void;
 }
 
 type CallOutcome = core.Outcome<upstreams.ServiceResponse>;
 
-/** Starts of one call, the first included, before a service that denies it each time is no longer believed. */
+/** Number of starts of one call, including the first. If the service denies all of them, the outcome is unknown. */
 const MaximumAttempts = 4;
 
-/** Longest that an answer waits for its outcome to be recorded, in milliseconds. */
-const RecordingBound = 500;
+/** How long an answer waits until its outcome is recorded. */
+const RecordingTimeoutMilliseconds = 500;
 
 /**
- * Calls plain services. Repeatable calls are retried like any; all others go through the ledger, which lets a key run
- * at most once.
+ * Calls plain services. Repeatable calls are simply retried. All others go through the ledger, which allows a key to run at
+ * most once.
  */
 export class ServiceCaller {
     constructor(private readonly options: ServiceCallerOptions) {}
@@ -42,7 +42,7 @@
     async call(call: types.ServiceCall, signal: AbortSignal): Promise<CallOutcome> {
         const fleet = this.options.directory.tryGetFleet();
         if (fleet === undefined) {
-            return core.createFailure(refusals.createNoNote());
+            return core.createFailure(refusals.createNoReleaseNote());
         }
         const service = fleet.services.find(candidate => candidate.id === call.service);
         if (service === undefined) {
@@ -57,26 +57,26 @@
             return core.createFailure(admitted.refusal);
         }
         const startedAt = this.options.clock.now();
-        const leave = (): void => admitted.value.leave(this.options.clock.now() - startedAt);
+        const releaseTicket = (): void => admitted.value.release(this.options.clock.now() - startedAt);
         if (route.safety === core.CallSafety.Idempotent) {
-            return this.options.sender.sendRepeatable(service, call, signal).finally(leave);
+            return this.options.sender.sendRepeatable(service, call, signal).finally(releaseTicket);
         }
-        // A call that is not repeatable runs to its end, and is recorded, whether or not its caller still waits.
-        const task = this.runOnce({ service, route, call }).finally(leave);
-        this.options.runBehind(task);
-        return this.waitWithin(task, call, signal);
+        // A call that isn't repeatable runs to its end and is recorded, even if its caller no longer waits.
+        const task = this.runOnce({ service, route, call }).finally(releaseTicket);
+        this.options.runInBackground(task);
+        return this.waitUntilDeadline(task, call, signal);
     }
 
-    /** Before the ledger: a call that is refused for lack of a place costs no write. */
+    /** Runs before the ledger, so that a call that is refused for lack of a slot costs no write. */
     private admit(
         fleet: core.FleetDescription,
         service: core.ServiceDescription,
         call: types.ServiceCall,
         signal: AbortSignal,
-    ): Promise<core.Outcome<admissionDesk.Ticket>> {
+    ): Promise<core.Outcome<admissionController.AdmissionTicket>> {
         const caller = fleet.callers.find(candidate => candidate.id === call.caller);
         this.options.retryBudget.onRequest();
-        return this.options.admission.enter(
+        return this.options.admission.admit(
             {
                 queue: `service/${service.id}/${call.requestClass}`,
                 caller: call.caller,
@@ -104,7 +104,7 @@
             case work.BeginKind.Finished:
                 return core.createSuccess(begun.result);
             case work.BeginKind.InFlight:
-                return this.waitForOther(target);
+                return this.waitForOtherRun(target);
             case work.BeginKind.Orphaned:
                 return this.recover(target, begun.record);
             case work.BeginKind.KeyReused:
@@ -123,7 +123,7 @@
             case callSender.SentKind.Answered:
                 return this.finish(target.call, record, sent.response);
             case callSender.SentKind.NotSent:
-                // Freed before the refusal is given: a caller that comes back at once must be able to start it.
+                // Release the key before the refusal is sent, so that an immediate retry of the caller can start the call.
                 await this.options.ledger.release(record);
                 return core.createFailure(sent.refusal);
             case callSender.SentKind.MayHaveRun:
@@ -131,13 +131,13 @@
         }
     }
 
-    /** The sender of the recorded attempt is gone. Which upstream it had chosen is not known. */
+    /** Recovers a call whose sending instance has been removed. The upstream that it was sent to is unknown. */
     private async recover(target: callSender.CallTarget, orphan: work.CallRecord): Promise<CallOutcome> {
         const record = await this.options.ledger.takeOver(orphan);
-        return record === undefined ? this.waitForOther(target) : this.settle(target, record, undefined);
+        return record === undefined ? this.waitForOtherRun(target) : this.settle(target, record, undefined);
     }
 
-    /** The call may have run: find out, or send it again where that is harmless, or give it up for good. */
+    /** Settles a call that may have run: determines its outcome, sends it again if safe, or marks it as unknown. */
     private async settle(
         target: callSender.CallTarget,
         record: work.CallRecord,
@@ -148,9 +148,9 @@
             return this.finish(target.call, record, settled.response);
         }
         if (settled.kind === callRecovery.SettledKind.DidNotRun && record.attempt < MaximumAttempts) {
-            // A new start of the same call: of two instances that both heard the denial, the ledger lets one have it.
+            // Start the call again. If two instances received the denial, the ledger lets only one of them take over.
             const fresh = await this.options.ledger.takeOver(record);
-            return fresh === undefined ? this.waitForOther(target) : this.sendStarted(target, fresh);
+            return fresh === undefined ? this.waitForOtherRun(target) : this.sendStarted(target, fresh);
         }
         await this.options.ledger.markOutcomeUnknown(record);
         return core.createFailure(refusals.createOutcomeUnknown());
@@ -161,22 +161,22 @@
         record: work.CallRecord,
         response: upstreams.ServiceResponse,
     ): Promise<CallOutcome> {
-        await this.options.ledger.finish(record, response, RecordingBound);
+        await this.options.ledger.finish(record, response, RecordingTimeoutMilliseconds);
         return core.createSuccess(response);
     }
 
-    private async waitForOther(target: callSender.CallTarget): Promise<CallOutcome> {
+    private async waitForOtherRun(target: callSender.CallTarget): Promise<CallOutcome> {
         const { call } = target;
         const controller = new AbortController();
-        const rest = Math.max(0, call.deadlineAt - this.options.clock.now());
-        const stop = this.options.clock.schedule(rest, () => controller.abort());
+        const remaining = Math.max(0, call.deadlineAt - this.options.clock.now());
+        const stop = this.options.clock.schedule(remaining, () => controller.abort());
         try {
             const record = await this.options.ledger.waitForResult(call, controller.signal);
             if (record?.result !== undefined) {
                 return core.createSuccess(record.result);
             }
             if (record?.state === work.CallState.Started && !controller.signal.aborted) {
-                // Its instance is gone: whoever begins it now is told that it is orphaned, and settles it.
+                // Its instance has been removed. Beginning the call again returns it as orphaned, and it is settled.
                 return await this.runOnce(target);
             }
             return core.createFailure(
@@ -190,16 +190,20 @@
         }
     }
 
-    /** Answers in time even while the call itself goes on. */
-    private waitWithin(task: Promise<CallOutcome>, call: types.ServiceCall, signal: AbortSignal): Promise<CallOutcome> {
+    /** Answers at the deadline or when the caller disconnects, even if the call itself continues. */
+    private waitUntilDeadline(
+        task: Promise<CallOutcome>,
+        call: types.ServiceCall,
+        signal: AbortSignal,
+    ): Promise<CallOutcome> {
         return new Promise((resolve, reject) => {
             const giveUp = (): void => {
                 stop();
                 signal.removeEventListener("abort", giveUp);
                 resolve(core.createFailure(refusals.createCallInFlight()));
             };
-            const rest = Math.max(0, call.deadlineAt - this.options.clock.now());
-            const stop = this.options.clock.schedule(rest, giveUp);
+            const remaining = Math.max(0, call.deadlineAt - this.options.clock.now());
+            const stop = this.options.clock.schedule(remaining, giveUp);
             signal.addEventListener("abort", giveUp, { once: true });
             task.finally(() => {
                 stop();
@@ -209,7 +213,7 @@
     }
 }
 
-/** The same key with another method, path or body is another call. */
+/** Hashes what identifies a call beside its key. Reusing a key with another service, method, path or body is refused. */
 function createFingerprint(call: types.ServiceCall): string {
     const hash = crypto.createHash("sha256");
     hash.update(JSON.stringify([call.service, call.method, call.path]));
--- a/packages/entry/src/dispatch/suspectWatch.ts
+++ b/packages/entry/src/dispatch/suspectWatch.ts
@@ -11,7 +11,7 @@
     readonly peers: protocol.PeerNetwork;
 }
 
-/** Finds requests that crash engines, together with the other instances. */
+/** Detects requests that crash engines, and exchanges reports of them with the other instances. */
 export class SuspectWatch {
     readonly registry = new decisions.SuspectRegistry();
     private readonly probes = new Map<core.UpstreamId, Promise<boolean>>();
@@ -27,11 +27,12 @@
     }
 
     /**
-     * A connection broke while a request ran. One broken connection is no death: a middlebox cuts them too, and blaming
-     * everybody on the upstream for it would send innocents to the suspects' lane. So the upstream is asked, once for
-     * all that broke together; only one that doesn't answer has died. Resolves to whether it has.
+     * Handles a connection that broke while a request ran, and resolves to whether the upstream crashed. A broken connection
+     * alone doesn't prove a crash, since a middlebox can cut connections too, and would make every request on the upstream
+     * suspect. The upstream is therefore probed, once for all connections that break together, and counts as crashed only
+     * if it doesn't answer.
      */
-    async onBroken(upstream: core.UpstreamDescription): Promise<boolean> {
+    async onConnectionBroken(upstream: core.UpstreamDescription): Promise<boolean> {
         let probe = this.probes.get(upstream.id);
         if (probe === undefined) {
             probe = this.probe(upstream).finally(() => this.probes.delete(upstream.id));
@@ -49,11 +50,11 @@
         const reports = this.registry.onUpstreamDied(upstream.id, this.options.clock.now());
         const text = `died with ${reports.length} requests in flight`;
         this.options.telemetry.record(telemetry.events.UpstreamSuspected, { upstream: upstream.id, text });
-        reports.forEach(report => this.tellPeers(report));
+        reports.forEach(report => this.notifyPeers(report));
         return true;
     }
 
-    private tellPeers(report: decisions.SuspectReport): void {
+    private notifyPeers(report: decisions.SuspectReport): void {
         const deaths = Object.values(report.deathsByUpstream).reduce((total, count) => total + count, 0);
         const message: protocol.SuspectReport = {
             kind: protocol.MessageKind.SuspectReport,
--- a/packages/entry/src/dispatch/types.ts
+++ b/packages/entry/src/dispatch/types.ts
@@ -1,14 +1,14 @@
 import type * as core from "@boragedale/core";
 import type * as upstreams from "@boragedale/upstreams";
 
-/** A chat completion as the caller face or a job hands it over. */
+/** A chat completion that the callers' endpoint or a batch job submits. */
 export interface CompletionRequest {
     readonly id: string;
     readonly caller: core.CallerId;
     readonly requestClass: core.RequestClass;
     readonly model: core.ModelId;
     readonly body: Readonly<Record<string, unknown>>;
-    /** Monotonic time by which the answer must be there. */
+    /** Monotonic time by which the answer must be complete. */
     readonly deadlineAt: core.MonotonicMilliseconds;
 }
 
@@ -27,7 +27,7 @@
     | { readonly kind: StreamEventKind.Finished; readonly reason: string; readonly usage: upstreams.Usage }
     | { readonly kind: StreamEventKind.Refused; readonly refusal: core.Refusal };
 
-/** The answer, in order. Ends with exactly one `Finished` or `Refused`. */
+/** One event of an answer. The events come in order and end with exactly one `Finished` or `Refused`. */
 export type StreamEvent = TokenEvent | EndEvent;
 
 export interface ServiceCall {
@@ -36,22 +36,22 @@
     readonly requestClass: core.RequestClass;
     readonly service: string;
     readonly method: string;
-    /** Path and query below the service's name. */
+    /** Path and query, without the prefix that names the service. */
     readonly path: string;
     readonly headers: Readonly<Record<string, string>>;
     readonly body: Uint8Array | undefined;
-    /** The caller's idempotency key, or one made for it. */
+    /** The idempotency key that the caller sent, or a generated one. */
     readonly key: string;
     readonly deadlineAt: core.MonotonicMilliseconds;
 }
 
-/** Admits, queues, places, retries and refuses: the way of a request between the faces and the upstreams. */
+/** Takes requests from the endpoints to the upstreams: admits, queues, places, retries or refuses them. */
 export abstract class Dispatcher implements AsyncDisposable {
     abstract complete(request: CompletionRequest, signal: AbortSignal): AsyncIterable<StreamEvent>;
     abstract callService(call: ServiceCall, signal: AbortSignal): Promise<core.Outcome<upstreams.ServiceResponse>>;
-    /** Batch items that could be sent right now without harm to online work. */
+    /** Number of batch items that could be sent now without slowing online work. */
     abstract getFreeBatchSlots(): number;
-    /** Requests in progress, for drain. */
+    /** Number of requests in progress. A graceful stop waits until it is 0. */
     abstract getInProgress(): number;
     abstract [Symbol.asyncDispose](): Promise<void>;
 }
--- a/packages/entry/src/dispatch/upstreamDirectory.ts
+++ b/packages/entry/src/dispatch/upstreamDirectory.ts
@@ -14,7 +14,7 @@
     ) => upstreams.ServiceClient;
 }
 
-/** A client while somebody uses it; disposing gives it back. */
+/** A client in use. Disposing ends the use. */
 export interface ClientUse<T> extends Disposable {
     readonly client: T;
 }
@@ -27,8 +27,8 @@
 }
 
 /**
- * The upstreams that the release note names, with a client each for either class. A client whose upstream was withdrawn
- * or moved is closed once its last request has ended, since closing it at once would cut off answers in progress.
+ * Provides a client for each upstream and request class. When the release note removes an upstream or changes its URL, its
+ * client is closed after the last request has ended, since closing it at once would cut off answers in progress.
  */
 export class UpstreamDirectory implements AsyncDisposable {
     private readonly engines = new Map<string, ClientEntry<upstreams.EngineClient>>();
@@ -39,7 +39,7 @@
         this.stopListening = options.notes.onNote(note => this.retireAbsent(note.fleet));
     }
 
-    /** The fleet to route by; an upstream that a rollout is changing counts as leaving. */
+    /** The fleet to route by. An upstream that a rollout is changing counts as leaving. */
     tryGetFleet(): core.FleetDescription | undefined {
         return this.options.notes.tryGetUsableFleet();
     }
@@ -122,7 +122,7 @@
     }
 }
 
-/** Engines that the note lets serve a model or adapter to a class; leaving ones are left out. */
+/** Engines that may serve a model or adapter to a class by the release note, except those that are leaving. */
 export function listEngines(
     fleet: core.FleetDescription,
     model: core.ModelId,
@@ -139,7 +139,7 @@
     );
 }
 
-/** Servers of a plain service that take new work. */
+/** Servers of a plain service that accept new work. */
 export function listServers(
     fleet: core.FleetDescription,
     service: core.ServiceDescription,
@@ -147,7 +147,7 @@
     return fleet.upstreams.filter(upstream => !upstream.isLeaving && service.upstreams.includes(upstream.id));
 }
 
-/** The model itself, or the one that an adapter of this name belongs to. */
+/** Returns the model itself, or the base model of the adapter with this name. */
 export function tryGetBaseModel(fleet: core.FleetDescription, model: core.ModelId): core.ModelId | undefined {
     const found = fleet.models.find(
         candidate => candidate.id === model || candidate.adapters.some(adapter => adapter.id === model),
--- a/packages/entry/src/dispatch/upstreamPoller.ts
+++ b/packages/entry/src/dispatch/upstreamPoller.ts
@@ -1,7 +1,7 @@
 import * as core from "@boragedale/core";
 import type * as decisions from "@boragedale/decisions";
 import * as protocol from "@boragedale/protocol";
-import type * as batchLanes from "./batchLanes.js";
+import type * as batchCoordinator from "./batchLanes.js";
 import type * as engineTable from "./engineTable.js";
 import type * as directory from "./upstreamDirectory.js";
 
@@ -10,23 +10,23 @@
     readonly directory: directory.UpstreamDirectory;
     readonly table: engineTable.EngineTable;
     readonly placement: decisions.Placement;
-    readonly lanes: batchLanes.BatchLanes;
+    readonly batch: batchCoordinator.BatchCoordinator;
     readonly membership: protocol.Membership;
     readonly peers: protocol.PeerNetwork;
 }
 
-/** How often each engine is asked by its home, in milliseconds. */
-const PollInterval = 1_000;
-/** How long "it is leaving" is believed without being told again, in milliseconds. */
-export const LeavingLife = 10 * PollInterval;
+/** How often a coordinator polls each of its engines. */
+const PollIntervalMilliseconds = 1_000;
+/** How long a report that an engine is leaving stays valid without being repeated. */
+export const LeavingExpiryMilliseconds = 10 * PollIntervalMilliseconds;
 
 /**
- * Asks the engines whose home this instance is what they say of themselves. Only the home asks: at the fleet's size
- * every instance asking every engine would be most of the control traffic.
+ * Polls the load and state of the engines that this instance coordinates. Only the coordinator polls an engine: if every
+ * instance polled every engine, polls would be most of the control traffic in a large fleet.
  */
 export class UpstreamPoller implements Disposable {
     private stopTimer: (() => void) | undefined;
-    private readonly asked = new Set<core.UpstreamId>();
+    private readonly polling = new Set<core.UpstreamId>();
     private isStopped = false;
 
     constructor(private readonly options: UpstreamPollerOptions) {
@@ -39,49 +39,50 @@
     }
 
     private schedule(): void {
-        this.stopTimer = this.options.clock.schedule(PollInterval, () => {
+        this.stopTimer = this.options.clock.schedule(PollIntervalMilliseconds, () => {
             this.options.table.expire(this.options.clock.now());
-            this.listHomes().forEach(engine => void this.poll(engine));
+            this.listCoordinated().forEach(engine => void this.poll(engine));
             this.schedule();
         });
     }
 
     private async poll(engine: core.UpstreamDescription): Promise<void> {
-        if (this.asked.has(engine.id)) {
+        if (this.polling.has(engine.id)) {
             return;
         }
-        this.asked.add(engine.id);
+        this.polling.add(engine.id);
         using use = this.options.directory.useEngine(engine, core.RequestClass.Batch);
         const [load, state] = await Promise.all([use.client.tryReadLoad(), use.client.tryReadState()]);
-        this.asked.delete(engine.id);
+        this.polling.delete(engine.id);
         if (this.isStopped) {
             return;
         }
         if (load !== undefined) {
             this.options.placement.onLoadReport(engine.id, load, this.options.clock.now());
-            this.options.lanes.onLoadReport(engine, load);
+            this.options.batch.onLoadReport(engine, load);
         }
         if (state !== undefined) {
-            this.noteLeaving(engine.id, state.isLeaving);
+            this.reportLeaving(engine.id, state.isLeaving);
         }
     }
 
-    /** Leaving ones too, or one that changes its mind would never be asked again. */
-    private listHomes(): readonly core.UpstreamDescription[] {
+    /** Includes engines that are leaving, so that one that stops leaving is noticed. */
+    private listCoordinated(): readonly core.UpstreamDescription[] {
         const self = this.options.membership.getSelf();
         const upstreams = this.options.directory.tryGetFleet()?.upstreams ?? [];
         return upstreams.filter(
-            upstream => upstream.kind === core.UpstreamKind.Engine && this.options.table.tryGetHome(upstream) === self,
+            upstream =>
+                upstream.kind === core.UpstreamKind.Engine && this.options.table.tryGetCoordinator(upstream) === self,
         );
     }
 
     /**
-     * An engine that is leaving must get no new work from any instance after a few seconds, though the operators' note
-     * may not say so yet. The home tells the others, each round again while it lasts: a notice may be lost.
+     * Reports an engine that is leaving to all connected instances, so that none sends it new work after a few seconds even
+     * if the release note doesn't mark it as leaving yet. Repeated after every poll, because a message may be lost.
      */
-    private noteLeaving(upstream: core.UpstreamId, isLeaving: boolean): void {
+    private reportLeaving(upstream: core.UpstreamId, isLeaving: boolean): void {
         const wasLeaving = this.options.table.isLeaving(upstream);
-        this.options.table.setLeaving(upstream, isLeaving, this.options.clock.now() + LeavingLife);
+        this.options.table.setLeaving(upstream, isLeaving, this.options.clock.now() + LeavingExpiryMilliseconds);
         if (!isLeaving && !wasLeaving) {
             return;
         }
