--- a/packages/entry/src/composition.ts
+++ b/packages/entry/src/composition.ts
@@ -11,14 +11,14 @@
 import * as membership from "./membership/index.js";
 import type * as settings from "./settings.js";
 
-/** Every part of an instance, by the name under which the container knows it. */
+/** All parts of an instance by their names in the container. */
 export interface Parts {
     readonly settings: settings.EntrySettings;
     readonly description: core.InstanceDescription;
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
     readonly keyValue: backing.PacedKeyValueService;
-    /** Results that wait for the key-value service; undefined on an instance without a disk. */
+    /** Stores results until the key-value service accepts them. Undefined on an instance without a disk. */
     readonly spool: backing.Spool | undefined;
     readonly instanceList: backing.InstanceList;
     readonly membership: membership.FleetMembership;
@@ -36,8 +36,8 @@
 export type PartsContainer = awilix.AwilixContainer<Parts>;
 
 /**
- * Makes the container. The parts that listen or read before they are of use (network, membership, keeper) are
- * registered by `startParts` once they run; everything else is made when it is first asked for.
+ * Creates the container. Parts that must listen or read before they can be used (network, membership, keeper) are
+ * registered by `startParts` when they run. All others are created when they are first needed.
  */
 export function createContainer(given: Pick<Parts, "settings" | "clock">): PartsContainer {
     const container = awilix.createContainer<Parts>({ strict: true });
@@ -58,16 +58,16 @@
     return container;
 }
 
-/** What the peer network asks of parts that start after it, since they need its port. */
+/** Parts that the peer network uses although they start after it, since they need its port. */
 interface LateParts {
     membership?: membership.FleetMembership;
     keeper?: release.NoteKeeper;
 }
 
-/** Starts the parts in the order in which they need each other; `owned` gives them back in reverse. */
+/** Starts the parts in the order of their dependencies. `owned` disposes them in reverse order. */
 export async function startParts(
     container: PartsContainer,
-    ports: FacePorts,
+    ports: EndpointPorts,
     owned: core.DisposalStack,
 ): Promise<Parts> {
     const parts = container.cradle;
@@ -91,7 +91,7 @@
     return parts;
 }
 
-export interface FacePorts {
+export interface EndpointPorts {
     readonly caller: number;
     readonly operator: number;
 }
@@ -102,7 +102,7 @@
 
 function createDescription(
     given: settings.EntrySettings,
-    ports: FacePorts,
+    ports: EndpointPorts,
     peerPort: number,
 ): core.InstanceDescription {
     const host = given.advertisedHost;
@@ -133,20 +133,20 @@
             logicalTime: events.timeLine.getLogicalTime(),
             state: late.membership?.getState() ?? core.LifeState.Live,
         }),
-        onUnreachable: peer => late.membership?.noteUnreachable(peer),
+        onUnreachable: peer => late.membership?.recordUnreachable(peer),
     });
 }
 
 const LongestRetentionMilliseconds = 30 * 24 * 3_600_000;
-/** Bytes of results that may wait on the small disk; more than an hour of bookings at the sizes of today. */
-const SpoolBytes = 256 * 1_024 * 1_024;
+/** Limit on the results that wait on the disk. Holds more than an hour of bookings. */
+const SpoolLimitBytes = 256 * 1_024 * 1_024;
 
 async function openSpool(given: settings.EntrySettings, owned: core.DisposalStack): Promise<backing.Spool | undefined> {
     if (given.dataFolder === undefined) {
         return undefined;
     }
     const folder = path.join(given.dataFolder, "results");
-    return owned.use(await backing.Spool.open({ folder, maximumBytes: SpoolBytes }));
+    return owned.use(await backing.Spool.open({ folder, maximumBytes: SpoolLimitBytes }));
 }
 
 async function startKeeper(parts: Parts): Promise<release.KeyValueNoteKeeper> {
@@ -172,16 +172,19 @@
     return new backing.PacedKeyValueService(service, {
         clock,
         telemetry: events,
-        // The list may be read after the first calls; until then this instance counts itself alone.
+        // The list may be read after the first calls. Until then this instance counts only itself.
         getFleetSize: () => Math.max(1, parts.membership.getLiveInstances().length),
-        getLedgerPart: createLedgerPart(parts.membership),
+        getLedgerPart: createLedgerShare(parts.membership),
         random: Math.random,
         budget: { writesPerSecond: given.keyValueWritesPerSecond, readsPerSecond: given.keyValueReadsPerSecond },
     });
 }
 
-/** Looked up when instances come or go, not at each call: it takes a ranking of all instances for each shard. */
-function createLedgerPart(fleet: membership.FleetMembership): () => number {
+/**
+ * The share of the ledger's shards that this instance holds. Recomputed when instances join or leave, not at each call,
+ * since it ranks all instances for each shard.
+ */
+function createLedgerShare(fleet: membership.FleetMembership): () => number {
     let part: number | undefined;
     fleet.onChange(() => (part = undefined));
     return () => {
@@ -230,7 +233,9 @@
     });
 }
 
-/** Before the first note nothing can have been accepted, and nothing may be removed on its account. */
+/**
+ * Before the first release note, nothing can have been accepted, and the longest retention keeps anything from removal.
+ */
 function getRetention(parts: Parts): number {
     return parts.keeper.tryGetNote()?.fleet.policy.retentionMilliseconds ?? LongestRetentionMilliseconds;
 }
@@ -261,7 +266,7 @@
     });
 }
 
-/** Orders go over clients of the rollout's own, so that they wait behind nothing that callers sent. */
+/** The rollout has clients of its own, so that its orders don't queue behind callers' requests. */
 function createRollout(parts: Parts): release.Rollout {
     const { clock, telemetry: events } = parts;
     const clients = new Map<string, upstreams.EngineClient>();
--- a/packages/entry/src/dispatch/admissionController.ts
+++ b/packages/entry/src/dispatch/admissionController.ts
@@ -3,7 +3,9 @@
 
 /** A request for admission, and the queue that it belongs to. */
 export interface AdmissionRequest {
-    /** Name of the queue. There is one for each model or service and request class, so classes don't block each other. */
+    /**
+     * Name of the queue. There is one for each model or service and request class, so classes don't block each other.
+     */
     readonly queue: string;
     readonly caller: core.CallerId;
     readonly weight: number;
--- a/packages/entry/src/dispatch/attempts.ts
+++ b/packages/entry/src/dispatch/attempts.ts
@@ -85,7 +85,7 @@
     }
 
     onFinished(): void {
-        if (this.end()) {
+        if (this.tryEnd()) {
             this.options.placement.onFinished(this.id);
             this.options.suspects.registry.onFinished(this.id, this.upstream.id);
             this.options.pressure.onChange(this.upstream.id);
@@ -105,7 +105,7 @@
     }
 
     private close(failure: decisions.SendFailure): void {
-        if (this.end()) {
+        if (this.tryEnd()) {
             this.options.placement.onFailed(this.id, failure, this.options.clock.now());
             this.options.suspects.registry.onAbandoned(this.id, this.upstream.id);
             this.options.pressure.onChange(this.upstream.id);
@@ -122,7 +122,7 @@
         this.stream?.onProgress(tokens, milliseconds);
     }
 
-    private end(): boolean {
+    private tryEnd(): boolean {
         if (this.hasEnded) {
             return false;
         }
@@ -141,7 +141,8 @@
         case upstreams.EngineFailureKind.Busy:
             return decisions.SendFailure.Busy;
         case upstreams.EngineFailureKind.Rejected:
-            // 404 means that the engine doesn't hold the model. It is treated as busy, so that placement avoids it for now.
+            // 404 means that the engine doesn't hold the model. It is treated as busy, so that placement avoids it for
+            // now.
             return failure.status === 404 ? decisions.SendFailure.Busy : decisions.SendFailure.Abandoned;
         case upstreams.EngineFailureKind.Cancelled:
             return decisions.SendFailure.Abandoned;
--- a/packages/entry/src/dispatch/batchLanes.ts
+++ b/packages/entry/src/dispatch/batchLanes.ts
@@ -38,8 +38,8 @@
 const HandOverMilliseconds = 5_000;
 
 /**
- * Starts and limits batch streams on the engines that this instance coordinates. Only the coordinator sends batch work to
- * an engine: engines know no priorities, so a single instance must decide how much batch work an engine holds.
+ * Starts and limits batch streams on the engines that this instance coordinates. Only the coordinator sends batch work
+ * to an engine: engines know no priorities, so a single instance must decide how much batch work an engine holds.
  */
 export class BatchCoordinator implements Disposable {
     private readonly states = new Map<core.UpstreamId, EngineState>();
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Records the online work of one instance on a coordinated engine and cancels the streams that must give way. Returns
-     * the online requests of all instances on the engine, or undefined if this instance doesn't coordinate it.
+     * Records the online work of one instance on a coordinated engine and cancels the streams that must give way.
+     * Returns the online requests of all instances on the engine, or undefined if this instance doesn't coordinate it.
      */
     onPressure(upstream: core.UpstreamId, pressure: decisions.OnlinePressure): number | undefined {
         const engine = this.options.table.listCoordinated().find(candidate => candidate.id === upstream);
@@ -93,12 +93,17 @@
         return gate.getOnline(this.options.clock.now());
     }
 
-    /** Shortest time between two tokens that any instance reported for the engine in the last second, in milliseconds. */
+    /**
+     * Shortest time between two tokens that any instance reported for the engine in the last second, in milliseconds.
+     */
     tryGetFastestGap(upstream: core.UpstreamId): number | undefined {
         return this.states.get(upstream)?.gate.getFastestGap(this.options.clock.now());
     }
 
-    /** Applies a load report of a coordinated engine. Batch streams are cancelled before memory runs out for online work. */
+    /**
+     * Applies a load report of a coordinated engine. Batch streams are cancelled before memory runs out for online
+     * work.
+     */
     onLoadReport(engine: core.UpstreamDescription, load: upstreams.LoadReport): void {
         this.getState(engine).gate.onLoadReport(load, this.options.clock.now());
         this.refresh(engine);
@@ -175,8 +180,8 @@
     }
 
     /**
-     * Handles an engine that this instance no longer coordinates. Streams continue during the hand-over, while
-     * each coordinator uses half of the slots. The remaining ones are then cancelled, because the engine would otherwise
+     * Handles an engine that this instance no longer coordinates. Streams continue during the hand-over, while each
+     * coordinator uses half of the slots. The remaining ones are then cancelled, because the engine would otherwise
      * hold more batch work than its new coordinator knows of.
      */
     private retire(upstream: core.UpstreamId, state: EngineState): void {
@@ -191,8 +196,8 @@
     }
 
     /**
-     * Whether this instance still coordinates an engine that may accept no new work, for example during a version change.
-     * Dropping its state would lose the learned limits and start a hand-over period with half of the slots.
+     * Whether this instance still coordinates an engine that may accept no new work, for example during a version
+     * change. Dropping its state would lose the learned limits and start a hand-over period with half of the slots.
      */
     private isStillCoordinator(upstream: core.UpstreamId): boolean {
         const fleet = this.options.directory.tryGetFleet();
--- a/packages/entry/src/dispatch/callRecovery.ts
+++ b/packages/entry/src/dispatch/callRecovery.ts
@@ -59,10 +59,10 @@
 }
 
 /**
- * Asks the service whether the call ran. An answer "did not run" alone isn't final: if the connection broke, the call may
- * still be unread in the server's socket and run later. It is accepted only after the service has denied the key for the
- * time in which a call can still start, `settleMilliseconds` in the release note. If the note gives no time, the outcome
- * stays unknown and nothing is sent twice.
+ * Asks the service whether the call ran. An answer "did not run" alone isn't final: if the connection broke, the call
+ * may still be unread in the server's socket and run later. It is accepted only after the service has denied the key
+ * for the time in which a call can still start, `settleMilliseconds` in the release note. If the note gives no time,
+ * the outcome stays unknown and nothing is sent twice.
  */
 
 async function ask(
@@ -93,8 +93,9 @@
 }
 
 /**
- * Accepts "ran" from any server, but "did not run" only from the server that the call was sent to, because servers may not
- * share their records and the call would otherwise run on a second one. If that server isn't known, all must deny the key.
+ * Accepts "ran" from any server, but "did not run" only from the server that the call was sent to, because servers may
+ * not share their records and the call would otherwise run on a second one. If that server isn't known, all must deny
+ * the key.
  */
 async function askServers(
     target: callSender.CallTarget,
--- a/packages/entry/src/dispatch/callSender.ts
+++ b/packages/entry/src/dispatch/callSender.ts
@@ -40,8 +40,8 @@
 /** Number of times that a repeatable call is sent, including the first. */
 const MaximumAttempts = 3;
 /**
- * Minimum timeout of a call that may run only once, however short its caller's deadline. A late answer is still recorded
- * as the result, while closing the connection too early leaves the outcome unknown.
+ * Minimum timeout of a call that may run only once, however short its caller's deadline. A late answer is still
+ * recorded as the result, while closing the connection too early leaves the outcome unknown.
  */
 const MinimumCallTimeoutMilliseconds = 30_000;
 
@@ -90,8 +90,8 @@
 
     /**
      * Sends a call that may run only once. It goes to another server only if no byte of it was sent to the one before.
-     * `isAllowed` is checked right before each attempt, because another instance may have taken the call over while this
-     * process was paused.
+     * `isAllowed` is checked right before each attempt, because another instance may have taken the call over while
+     * this process was paused.
      */
     async sendOnce(target: CallTarget, isAllowed: () => boolean): Promise<Sent> {
         const excluded = new Set<core.UpstreamId>();
--- a/packages/entry/src/dispatch/completionRunner.ts
+++ b/packages/entry/src/dispatch/completionRunner.ts
@@ -74,8 +74,8 @@
     constructor(private readonly options: CompletionRunnerOptions) {}
 
     /**
-     * Yields the tokens and returns the closing event. The closing event isn't yielded because a consumer stops reading after
-     * it, and the code after a `yield` (releasing the slot, closing the attempt) would never run.
+     * Yields the tokens and returns the closing event. The closing event isn't yielded because a consumer stops reading
+     * after it, and the code after a `yield` (releasing the slot, closing the attempt) would never run.
      */
     async *run(request: types.CompletionRequest, signal: AbortSignal): CompletionTokens {
         const fleet = this.options.directory.tryGetFleet();
@@ -152,7 +152,7 @@
             if (!chosen.ok) {
                 return this.refuse(request, chosen.refusal);
             }
-            const end = yield* this.runOn(chosen.value, run);
+            const end = yield* this.runAttempt(chosen.value, run);
             if (end.kind === AttemptEndKind.Whole) {
                 this.options.telemetry.record(telemetry.events.RequestFinished, createSubject(request));
                 return end.event;
@@ -231,7 +231,10 @@
         return refusals.createQuarantined(decision.deaths, decision.retryAfterMilliseconds, getCertainty(run.progress));
     }
 
-    private async *runOn(upstream: core.UpstreamDescription, run: Run): AsyncGenerator<types.TokenEvent, AttemptEnd> {
+    private async *runAttempt(
+        upstream: core.UpstreamDescription,
+        run: Run,
+    ): AsyncGenerator<types.TokenEvent, AttemptEnd> {
         const { request, progress } = run;
         using attempt = this.options.attempts.start(request, run.profile, upstream, progress.tokens);
         using use = this.options.directory.useEngine(upstream, request.requestClass);
@@ -298,9 +301,9 @@
     }
 
     /**
-     * The retry budget limits repeated work. It doesn't apply to a request that no engine has received, since a retry repeats
-     * nothing, or to a stream that its caller has a part of, since it resumes where it stopped and a refusal would lose the
-     * answer.
+     * The retry budget limits repeated work. It doesn't apply to a request that no engine has received, since a retry
+     * repeats nothing, or to a stream that its caller has a part of, since it resumes where it stopped and a refusal
+     * would lose the answer.
      */
     private mayRetry(failure: upstreams.EngineFailure, progress: Progress): boolean {
         const isFree = failure.kind === upstreams.EngineFailureKind.NotSent || progress.tokens > 0;
--- a/packages/entry/src/dispatch/engineChooser.ts
+++ b/packages/entry/src/dispatch/engineChooser.ts
@@ -71,8 +71,8 @@
 
     /**
      * Chooses the engine for a suspect request, one that may have crashed an engine. The choice depends only on the
-     * request's fingerprint and the fleet, so that all instances choose the same engine. If two instances ran the request
-     * on different engines, it could crash both.
+     * request's fingerprint and the fleet, so that all instances choose the same engine. If two instances ran the
+     * request on different engines, it could crash both.
      */
     private chooseForSuspect(
         requirements: EngineRequirements,
--- a/packages/entry/src/dispatch/engineTable.ts
+++ b/packages/entry/src/dispatch/engineTable.ts
@@ -13,7 +13,9 @@
     private fleet: core.FleetDescription | undefined;
     private readonly online = new Map<core.ModelId, readonly core.UpstreamDescription[]>();
     private coordinated: readonly core.UpstreamDescription[] = [];
-    /** Engines that report themselves as leaving, whatever the release note says, with the time when the report expires. */
+    /**
+     * Engines that report themselves as leaving, whatever the release note says, with the time when the report expires.
+     */
     private readonly leaving = new Map<core.UpstreamId, core.MonotonicMilliseconds>();
     private readonly stopListening: () => void;
 
--- a/packages/entry/src/dispatch/partialAnswers.ts
+++ b/packages/entry/src/dispatch/partialAnswers.ts
@@ -4,8 +4,8 @@
 const MaximumCharacters = 16_000_000;
 
 /**
- * Stores the text of batch answers that gave way to online work until they resume. A lost answer only has to be generated
- * again, so the oldest are dropped when the limit is reached.
+ * Stores the text of batch answers that gave way to online work until they resume. A lost answer only has to be
+ * generated again, so the oldest are dropped when the limit is reached.
  */
 export class PartialAnswers {
     private readonly answers = new Map<string, upstreams.ResumePoint>();
--- a/packages/entry/src/dispatch/pressureNotifier.ts
+++ b/packages/entry/src/dispatch/pressureNotifier.ts
@@ -24,9 +24,9 @@
 }
 
 /**
- * Reports this instance's online work on each upstream to the upstream's coordinator. An increase is sent at once, because
- * batch streams must give way early in a burst. Rounds are at least 20 ms apart and small changes are not sent, because a
- * message for each request would make the control traffic grow with the load.
+ * Reports this instance's online work on each upstream to the upstream's coordinator. An increase is sent at once,
+ * because batch streams must give way early in a burst. Rounds are at least 20 ms apart and small changes are not sent,
+ * because a message for each request would make the control traffic grow with the load.
  */
 export class PressureNotifier implements Disposable {
     private readonly changed = new Set<core.UpstreamId>();
--- a/packages/entry/src/dispatch/requestProfile.ts
+++ b/packages/entry/src/dispatch/requestProfile.ts
@@ -3,7 +3,10 @@
 
 /** Properties of a completion that admission and placement use. */
 export interface RequestProfile {
-    /** Identifies requests with the same model and messages on every instance. Used to recognise requests that crash engines. */
+    /**
+     * Identifies requests with the same model and messages on every instance. Used to recognise requests that crash
+     * engines.
+     */
     readonly fingerprint: string;
     /** Equal for prompts that can share an entry of an engine's prefix cache. */
     readonly prefixHash: string;
@@ -18,8 +21,8 @@
 /** Expected tokens of an answer whose request sets no limit. */
 export const DefaultExpectedTokens = 256;
 /**
- * Highest expected cost. Requests often set a limit far above the length of their answers, and counting it in full would
- * refuse requests that end early.
+ * Highest expected cost. Requests often set a limit far above the length of their answers, and counting it in full
+ * would refuse requests that end early.
  */
 const MaximumExpectedTokens = 1_024;
 const MinimumExpectedTokens = 16;
@@ -40,9 +43,9 @@
 }
 
 /**
- * Returns the beginnings of the first two messages, usually the system message and the first user message. A conversation
- * so keeps its upstream from turn to turn. The system message alone would send all users of an application to the same
- * upstream.
+ * Returns the beginnings of the first two messages, usually the system message and the first user message. A
+ * conversation so keeps its upstream from turn to turn. The system message alone would send all users of an application
+ * to the same upstream.
  */
 function readPrefix(messages: readonly unknown[]): string {
     return messages
--- a/packages/entry/src/dispatch/routes.ts
+++ b/packages/entry/src/dispatch/routes.ts
@@ -12,8 +12,8 @@
     }
     let best: core.RouteDescription | undefined;
     for (const route of service.routes) {
-        const matches = (route.method === "*" || route.method === method) && isBelow(pathname, route.path);
-        if (matches && (best === undefined || isMoreExact(route, best))) {
+        const matches = (route.method === "*" || route.method === method) && matchesPrefix(pathname, route.path);
+        if (matches && (best === undefined || isMoreSpecific(route, best))) {
             best = route;
         }
     }
@@ -21,8 +21,9 @@
 }
 
 /**
- * Returns the decoded path, or undefined for a path that a service might resolve to another route (`/cards/../bookings`,
- * `//bookings`). Such a path could match a repeatable route and so bypass the ledger for a call that may run only once.
+ * Returns the decoded path, or undefined for a path that a service might resolve to another route
+ * (`/cards/../bookings`, `//bookings`). Such a path could match a repeatable route and so bypass the ledger for a call
+ * that may run only once.
  */
 function tryNormalize(path: string): string | undefined {
     const pathname = path.split(/[?#]/, 1)[0] ?? path;
@@ -41,12 +42,12 @@
 }
 
 /** Compares whole segments: `/bookings` covers `/bookings/7` but not `/bookingsearch`. */
-function isBelow(path: string, prefix: string): boolean {
+function matchesPrefix(path: string, prefix: string): boolean {
     const base = prefix.endsWith("/") ? prefix.slice(0, -1) : prefix;
     return path === base || path === prefix || path.startsWith(`${base}/`);
 }
 
-function isMoreExact(left: core.RouteDescription, right: core.RouteDescription): boolean {
+function isMoreSpecific(left: core.RouteDescription, right: core.RouteDescription): boolean {
     if (left.path.length !== right.path.length) {
         return left.path.length > right.path.length;
     }
--- a/packages/entry/src/dispatch/serverLimits.ts
+++ b/packages/entry/src/dispatch/serverLimits.ts
@@ -10,7 +10,9 @@
 /** Initial concurrency limit of a server. The concurrency in the release note may lower it. */
 const InitialLimit = 16;
 
-/** Limits the calls that this instance runs on each server of a plain service. Each server has its own learned limit. */
+/**
+ * Limits the calls that this instance runs on each server of a plain service. Each server has its own learned limit.
+ */
 export class ServerLimits {
     private readonly limits = new Map<core.UpstreamId, decisions.ConcurrencyLimit>();
 
@@ -22,10 +24,10 @@
         excluded: ReadonlySet<core.UpstreamId>,
     ): ServerSlot | undefined {
         const free = servers.filter(server => !excluded.has(server.id));
-        const byUse = free
+        const byUtilisation = free
             .map(server => ({ server, limit: this.getLimit(server) }))
-            .sort((left, right) => getUse(left.limit) - getUse(right.limit));
-        const chosen = byUse.find(candidate => candidate.limit.tryAcquire());
+            .sort((left, right) => getUtilisation(left.limit) - getUtilisation(right.limit));
+        const chosen = byUtilisation.find(candidate => candidate.limit.tryAcquire());
         return chosen === undefined ? undefined : this.createSlot(chosen.server, chosen.limit);
     }
 
@@ -56,6 +58,6 @@
     }
 }
 
-function getUse(limit: decisions.ConcurrencyLimit): number {
+function getUtilisation(limit: decisions.ConcurrencyLimit): number {
     return limit.getRunning() / limit.getLimit();
 }
--- a/packages/entry/src/dispatch/serviceCaller.ts
+++ b/packages/entry/src/dispatch/serviceCaller.ts
@@ -33,8 +33,8 @@
 const RecordingTimeoutMilliseconds = 500;
 
 /**
- * Calls plain services. Repeatable calls are simply retried. All others go through the ledger, which allows a key to run at
- * most once.
+ * Calls plain services. Repeatable calls are simply retried. All others go through the ledger, which allows a key to
+ * run at most once.
  */
 export class ServiceCaller {
     constructor(private readonly options: ServiceCallerOptions) {}
@@ -123,7 +123,8 @@
             case callSender.SentKind.Answered:
                 return this.finish(target.call, record, sent.response);
             case callSender.SentKind.NotSent:
-                // Release the key before the refusal is sent, so that an immediate retry of the caller can start the call.
+                // Release the key before the refusal is sent, so that an immediate retry of the caller can start the
+                // call.
                 await this.options.ledger.release(record);
                 return core.createFailure(sent.refusal);
             case callSender.SentKind.MayHaveRun:
@@ -213,7 +214,9 @@
     }
 }
 
-/** Hashes what identifies a call beside its key. Reusing a key with another service, method, path or body is refused. */
+/**
+ * Hashes what identifies a call beside its key. Reusing a key with another service, method, path or body is refused.
+ */
 function createFingerprint(call: types.ServiceCall): string {
     const hash = crypto.createHash("sha256");
     hash.update(JSON.stringify([call.service, call.method, call.path]));
--- a/packages/entry/src/dispatch/suspectWatch.ts
+++ b/packages/entry/src/dispatch/suspectWatch.ts
@@ -27,10 +27,10 @@
     }
 
     /**
-     * Handles a connection that broke while a request ran, and resolves to whether the upstream crashed. A broken connection
-     * alone doesn't prove a crash, since a middlebox can cut connections too, and would make every request on the upstream
-     * suspect. The upstream is therefore probed, once for all connections that break together, and counts as crashed only
-     * if it doesn't answer.
+     * Handles a connection that broke while a request ran, and resolves to whether the upstream crashed. A broken
+     * connection alone doesn't prove a crash, since a middlebox can cut connections too, and would make every request
+     * on the upstream suspect. The upstream is therefore probed, once for all connections that break together, and
+     * counts as crashed only if it doesn't answer.
      */
     async onConnectionBroken(upstream: core.UpstreamDescription): Promise<boolean> {
         let probe = this.probes.get(upstream.id);
--- a/packages/entry/src/dispatch/upstreamDirectory.ts
+++ b/packages/entry/src/dispatch/upstreamDirectory.ts
@@ -27,8 +27,8 @@
 }
 
 /**
- * Provides a client for each upstream and request class. When the release note removes an upstream or changes its URL, its
- * client is closed after the last request has ended, since closing it at once would cut off answers in progress.
+ * Provides a client for each upstream and request class. When the release note removes an upstream or changes its URL,
+ * its client is closed after the last request has ended, since closing it at once would cut off answers in progress.
  */
 export class UpstreamDirectory implements AsyncDisposable {
     private readonly engines = new Map<string, ClientEntry<upstreams.EngineClient>>();
--- a/packages/entry/src/dispatch/upstreamPoller.ts
+++ b/packages/entry/src/dispatch/upstreamPoller.ts
@@ -21,8 +21,8 @@
 export const LeavingExpiryMilliseconds = 10 * PollIntervalMilliseconds;
 
 /**
- * Polls the load and state of the engines that this instance coordinates. Only the coordinator polls an engine: if every
- * instance polled every engine, polls would be most of the control traffic in a large fleet.
+ * Polls the load and state of the engines that this instance coordinates. Only the coordinator polls an engine: if
+ * every instance polled every engine, polls would be most of the control traffic in a large fleet.
  */
 export class UpstreamPoller implements Disposable {
     private stopTimer: (() => void) | undefined;
@@ -77,8 +77,9 @@
     }
 
     /**
-     * Reports an engine that is leaving to all connected instances, so that none sends it new work after a few seconds even
-     * if the release note doesn't mark it as leaving yet. Repeated after every poll, because a message may be lost.
+     * Reports an engine that is leaving to all connected instances, so that none sends it new work after a few seconds
+     * even if the release note doesn't mark it as leaving yet. Repeated after every poll, because a message may be
+     * lost.
      */
     private reportLeaving(upstream: core.UpstreamId, isLeaving: boolean): void {
         const wasLeaving = this.options.table.isLeaving(upstream);
--- a/packages/entry/src/membership/fleetMembership.ts
+++ b/packages/entry/src/membership/fleetMembership.ts
@@ -7,48 +7,49 @@
     readonly self: core.InstanceDescription;
     readonly instanceList: backing.InstanceList;
     readonly clock: core.Clock;
-    readonly readMilliseconds?: number;
+    readonly readIntervalMilliseconds?: number;
 }
 
-const ReadMilliseconds = 2_000;
+const ReadIntervalMilliseconds = 2_000;
 
 /**
- * Peers that an instance links all the time; as many link it. Eight links each reach 400 instances in three steps,
- * and their heartbeats, headers counted, stay near 1 KB a second of the 2 that control may cost.
+ * Number of peers that an instance connects to permanently. About as many connect to it. With eight links for each
+ * instance, a message reaches 400 instances in three steps, and heartbeats take about 1 KB/s including headers, of the
+ * 2 KB/s that control traffic may use.
  */
-const Neighbours = 4;
+const NeighbourCount = 4;
 
 /**
- * How long a peer that could not be reached holds no duties here. The list lags by seconds; longer than that and the
- * list itself must have dropped it, or the peer is back and only the way to it was broken.
+ * How long an unreachable peer counts as not live. The instance list lags by seconds. After this time, either the list
+ * has dropped the peer, or the peer is alive and only the connection to it was broken.
  */
 const SuspectMilliseconds = 10_000;
 
-/** Silence after which an instance that the list has dropped counts as gone, and not as one that the list forgot. */
-const GoneMilliseconds = 10_000;
+/** Time without heartbeats after which an instance that the list has dropped counts as removed. */
+const RemovalSilenceMilliseconds = 10_000;
 
 interface PeerRecord {
-    /** The last line of the list about it, kept after the list drops it. */
+    /** The last description in the list. Kept after the list drops the instance. */
     description: core.InstanceDescription;
     isListed: boolean;
-    /** The list dropped it, or a read showed it first, at this time. */
+    /** When `isListed` last changed. */
     listedSince: core.MonotonicMilliseconds;
-    heardAt: core.MonotonicMilliseconds | undefined;
+    lastHeartbeatAt: core.MonotonicMilliseconds | undefined;
     unreachableAt: core.MonotonicMilliseconds | undefined;
     isLeaving: boolean;
     generation: core.Generation;
 }
 
 /**
- * Who is in the fleet: the platform's list, corrected by what peers say themselves. The list lags, so a leaving
- * notice or a heartbeat in state `Leaving` counts at once, and a peer that can't be reached loses its duties for a
- * while. All of it is soft: two instances may disagree for seconds, and duties are fenced elsewhere.
+ * Determines the live instances of the fleet from the platform's instance list and from messages of the peers. The list
+ * lags, so a `Leaving` message or a heartbeat in state `Leaving` takes effect at once, and a peer that can't be reached
+ * counts as not live for a while. Two instances may disagree for seconds, so assignments are fenced elsewhere.
  */
 export class FleetMembership extends protocol.Membership implements AsyncDisposable {
     private readonly peers = new Map<core.InstanceId, PeerRecord>();
     private readonly changeListeners = new Set<() => void>();
     private readonly heartbeatListeners = new Set<(from: core.InstanceId, heartbeat: protocol.Heartbeat) => void>();
-    private readonly stopper = new AbortController();
+    private readonly stopController = new AbortController();
     private state = core.LifeState.Live;
     private live: readonly core.InstanceDescription[];
     private task: Promise<void> = Promise.resolve();
@@ -58,7 +59,7 @@
         this.live = [options.self];
     }
 
-    /** Starts with one read of the list; an instance that can't read it begins alone and keeps trying. */
+    /** Reads the list once. An instance that can't read it starts with itself as the only member and keeps trying. */
     static async start(options: MembershipOptions): Promise<FleetMembership> {
         const membership = new FleetMembership(options);
         await membership.readList();
@@ -66,14 +67,14 @@
         return membership;
     }
 
-    /** Takes notice of what peers tell. */
+    /** Handles the heartbeats and leaving messages of peers. */
     attach(network: protocol.PeerNetwork): void {
         network.handle(protocol.MessageKind.Heartbeat, async (heartbeat, from) => {
-            this.noteHeartbeat(from, heartbeat);
+            this.recordHeartbeat(from, heartbeat);
             return undefined;
         });
         network.handle(protocol.MessageKind.Leaving, async leaving => {
-            this.noteLeaving(leaving.instance);
+            this.recordLeaving(leaving.instance);
             return undefined;
         });
     }
@@ -86,13 +87,13 @@
         return this.live;
     }
 
-    override tryGetHolder(duty: string): core.InstanceId | undefined {
-        return decisions.rendezvous(duty, getIds(this.live));
+    override tryGetHolder(assignment: string): core.InstanceId | undefined {
+        return decisions.rendezvous(assignment, getIds(this.live));
     }
 
-    override tryGetHolderIn(dataCentre: core.DataCentre, duty: string): core.InstanceId | undefined {
+    override tryGetHolderIn(dataCentre: core.DataCentre, assignment: string): core.InstanceId | undefined {
         const near = this.live.filter(instance => instance.dataCentre === dataCentre);
-        return decisions.rendezvous(duty, getIds(near.length > 0 ? near : this.live));
+        return decisions.rendezvous(assignment, getIds(near.length > 0 ? near : this.live));
     }
 
     override isGone(instance: core.InstanceId): boolean {
@@ -104,8 +105,8 @@
             return true;
         }
         const now = this.options.clock.now();
-        const silentSince = Math.max(record.heardAt ?? 0, record.listedSince);
-        return !record.isListed && now - silentSince > GoneMilliseconds;
+        const silentSince = Math.max(record.lastHeartbeatAt ?? 0, record.listedSince);
+        return !record.isListed && now - silentSince > RemovalSilenceMilliseconds;
     }
 
     override onChange(listener: () => void): () => void {
@@ -113,27 +114,27 @@
         return () => this.changeListeners.delete(listener);
     }
 
-    /** Calls `listener` for each heartbeat of a peer; the returned function stops it. */
+    /** Calls `listener` for each heartbeat of a peer. The returned function removes the listener. */
     onHeartbeat(listener: (from: core.InstanceId, heartbeat: protocol.Heartbeat) => void): () => void {
         this.heartbeatListeners.add(listener);
         return () => this.heartbeatListeners.delete(listener);
     }
 
-    /** What this instance tells of itself in its heartbeats. */
+    /** The state that this instance sends in its heartbeats. */
     getState(): core.LifeState {
         return this.state;
     }
 
-    /** From now on this instance holds no duties. */
+    /** Marks this instance as leaving. It no longer gets assignments. */
     leave(): void {
         this.state = core.LifeState.Leaving;
         this.refresh();
     }
 
-    /** The peers to stay linked with: the same few for as long as they live, and different ones for each instance. */
+    /** The peers to stay connected to. The choice is stable while they live, and differs between instances. */
     getNeighbours(): readonly protocol.PeerAddress[] {
         const others = this.live.filter(instance => instance.id !== this.options.self.id);
-        const chosen = decisions.chooseSubset(`neighbour/${this.options.self.id}`, getIds(others), Neighbours);
+        const chosen = decisions.chooseSubset(`neighbour/${this.options.self.id}`, getIds(others), NeighbourCount);
         return chosen.flatMap(id => this.tryGetAddress(id) ?? []);
     }
 
@@ -142,13 +143,13 @@
         return record === undefined ? undefined : { id: peer, url: record.description.peerUrl };
     }
 
-    /** Highest generation that each peer has told. */
+    /** The highest release note generation that each peer has reported. */
     getGenerations(): ReadonlyMap<core.InstanceId, core.Generation> {
         return new Map([...this.peers].map(([id, record]) => [id, record.generation]));
     }
 
-    /** The network could not reach the peer, or its link went silent. */
-    noteUnreachable(peer: core.InstanceId): void {
+    /** Records that the network could not reach the peer or that its connection went silent. */
+    recordUnreachable(peer: core.InstanceId): void {
         const record = this.peers.get(peer);
         if (record !== undefined) {
             record.unreachableAt = this.options.clock.now();
@@ -157,30 +158,30 @@
     }
 
     async [Symbol.asyncDispose](): Promise<void> {
-        this.stopper.abort();
+        this.stopController.abort();
         await this.task;
     }
 
     private async run(): Promise<void> {
-        const signal = this.stopper.signal;
+        const signal = this.stopController.signal;
         while (!signal.aborted) {
-            await this.options.clock.sleep(this.options.readMilliseconds ?? ReadMilliseconds, signal);
+            await this.options.clock.sleep(this.options.readIntervalMilliseconds ?? ReadIntervalMilliseconds, signal);
             if (!signal.aborted) {
                 await this.readList();
             }
         }
     }
 
-    /** A list that can't be read leaves what is known as it is: losing the list must not empty the fleet. */
+    /** Reads the list. If that fails, the known members stay, since an outage of the list must not empty the fleet. */
     private async readList(): Promise<void> {
         const list = await this.options.instanceList.tryRead();
         if (list !== undefined) {
-            this.takeList(list.filter(instance => instance.id !== this.options.self.id));
+            this.applyList(list.filter(instance => instance.id !== this.options.self.id));
         }
         this.refresh();
     }
 
-    private takeList(list: readonly core.InstanceDescription[]): void {
+    private applyList(list: readonly core.InstanceDescription[]): void {
         const now = this.options.clock.now();
         const listed = new Map(list.map(instance => [instance.id, instance]));
         for (const [id, record] of this.peers) {
@@ -199,28 +200,28 @@
                 description,
                 isListed: true,
                 listedSince: now,
-                heardAt: undefined,
+                lastHeartbeatAt: undefined,
                 unreachableAt: undefined,
                 isLeaving: false,
                 generation: 0,
             });
         }
-        for (const id of [...this.peers.keys()].filter(peer => this.isForgettable(peer))) {
+        for (const id of [...this.peers.keys()].filter(peer => this.canDelete(peer))) {
             this.peers.delete(id);
         }
     }
 
-    /** Long gone: kept a while beyond `isGone`, then dropped, since instances are replaced all the time. */
-    private isForgettable(peer: core.InstanceId): boolean {
+    /** Whether a removed instance can be deleted. Records are deleted because instances are replaced all the time. */
+    private canDelete(peer: core.InstanceId): boolean {
         const record = this.peers.get(peer);
         const now = this.options.clock.now();
-        return this.isGone(peer) && record !== undefined && now - record.listedSince > 10 * GoneMilliseconds;
+        return this.isGone(peer) && record !== undefined && now - record.listedSince > 10 * RemovalSilenceMilliseconds;
     }
 
-    private noteHeartbeat(from: core.InstanceId, heartbeat: protocol.Heartbeat): void {
+    private recordHeartbeat(from: core.InstanceId, heartbeat: protocol.Heartbeat): void {
         const record = this.peers.get(from);
         if (record !== undefined) {
-            record.heardAt = this.options.clock.now();
+            record.lastHeartbeatAt = this.options.clock.now();
             record.unreachableAt = undefined;
             record.isLeaving = record.isLeaving || heartbeat.state !== core.LifeState.Live;
             record.generation = Math.max(record.generation, heartbeat.generation);
@@ -231,8 +232,8 @@
         }
     }
 
-    /** Leaving is final: a replacement comes under a name of its own. */
-    private noteLeaving(instance: core.InstanceId): void {
+    /** Records that a peer is leaving. This is final, since a replacement has a new name. */
+    private recordLeaving(instance: core.InstanceId): void {
         const record = this.peers.get(instance);
         if (record !== undefined) {
             record.isLeaving = true;
--- a/packages/entry/src/membership/index.ts
+++ b/packages/entry/src/membership/index.ts
@@ -1,2 +1,2 @@
-/** Who is in the fleet, and who holds which duty. */
+/** The live instances of the fleet, and the assignment of tasks to them. */
 export * from "./fleetMembership.js";
--- a/packages/entry/test/batchLanes.test.ts
+++ b/packages/entry/test/batchLanes.test.ts
@@ -39,8 +39,8 @@
 }
 
 suite("only the coordinator of an upstream sends it batch items", async () => {
-    // Three instances have items. If each sent as many as it considered right, the engine would hold three times the batch
-    // work that any of them knows of. Only the engine's coordinator has slots for it.
+    // Three instances have items. If each sent as many as it considered right, the engine would hold three times the
+    // batch work that any of them knows of. Only the engine's coordinator has slots for it.
     const engines = { "engine-1": new fixtures.ScriptedEngine(fixtures.answerWhole) };
     const hub = new standins.MemoryPeerHub();
     const clock = new core.VirtualClock();
@@ -67,9 +67,10 @@
 });
 
 suite("batch streams give way to a burst on another instance and later resume with their tokens", async () => {
-    // Batch items fill an idle engine, and another instance then sends it a burst of online requests. That instance reports
-    // the burst to the engine's coordinator at once, which cancels streams. The items use up no attempt. When they run again,
-    // the engine generates only what follows the saved text, and the answer equals that of an uninterrupted run.
+    // Batch items fill an idle engine, and another instance then sends it a burst of online requests. That instance
+    // reports the burst to the engine's coordinator at once, which cancels streams. The items use up no attempt. When
+    // they run again, the engine generates only what follows the saved text, and the answer equals that of an
+    // uninterrupted run.
     const engine = new fixtures.ScriptedEngine(answerSlowly);
     const hub = new standins.MemoryPeerHub();
     const clock = new core.VirtualClock();
@@ -129,9 +130,9 @@
 });
 
 suite("an engine that returns from a version change has all its batch slots at once", async () => {
-    // A rollout takes the engine out for some seconds, and its coordinator stays the same. If the coordinator treated the
-    // return as a hand-over, batch work would find only half of the slots. Over a whole rollout that would leave engines
-    // idle for half a minute.
+    // A rollout takes the engine out for some seconds, and its coordinator stays the same. If the coordinator treated
+    // the return as a hand-over, batch work would find only half of the slots. Over a whole rollout that would leave
+    // engines idle for half a minute.
     let finishStreams: () => void = () => undefined;
     const areFinished = new Promise<void>(resolve => (finishStreams = resolve));
     const engine = new fixtures.ScriptedEngine(async function* (request) {
@@ -169,8 +170,8 @@
 });
 
 suite("no batch stream starts on an engine whose memory is nearly full, even if it has free slots", async () => {
-    // Long answers have filled the engine's memory while slots are free. More batch work would leave no memory for the next
-    // online request, which would then wait inside the engine, where it can't be prioritised.
+    // Long answers have filled the engine's memory while slots are free. More batch work would leave no memory for the
+    // next online request, which would then wait inside the engine, where it can't be prioritised.
     const engine = new fixtures.ScriptedEngine(fixtures.answerWhole);
     await using fixture = fixtures.createDispatcherFixture({ engines: { "engine-1": engine } });
     await fixture.clock.advance(10_000);
@@ -181,8 +182,8 @@
 });
 
 suite("no instance sends new work to an engine that reports that it is leaving", async () => {
-    // The engine reports that it is leaving while the release note still lists it. Its coordinator polls this and notifies
-    // the other instances. A few seconds later, no instance sends it batch or online work.
+    // The engine reports that it is leaving while the release note still lists it. Its coordinator polls this and
+    // notifies the other instances. A few seconds later, no instance sends it batch or online work.
     const leaving = new fixtures.ScriptedEngine(fixtures.answerWhole);
     const staying = new fixtures.ScriptedEngine(fixtures.answerWhole);
     const engines = { "engine-1": leaving, "engine-2": staying };
--- a/packages/entry/test/completions.test.ts
+++ b/packages/entry/test/completions.test.ts
@@ -25,8 +25,8 @@
 });
 
 suite("the caller gets the answer of an uninterrupted run wherever streams are cut", async () => {
-    // The stream breaks or goes silent after any number of tokens, up to three times, and continues on another upstream.
-    // A token that is lost or sent again at a cut would change the text that the caller receives.
+    // The stream breaks or goes silent after any number of tokens, up to three times, and continues on another
+    // upstream. A token that is lost or sent again at a cut would change the text that the caller receives.
     const failure = fastCheck.constantFrom(upstreams.EngineFailureKind.Broken, upstreams.EngineFailureKind.Silent);
     const cut = fastCheck.record({ count: fastCheck.integer({ min: 0, max: 6 }), failure });
     const property = fastCheck.asyncProperty(fastCheck.array(cut, { maxLength: 3 }), async cuts => {
@@ -54,8 +54,8 @@
 });
 
 suite("slots are released although the consumer stops reading after the closing event", async () => {
-    // The callers' endpoint doesn't read on after the closing event. If the slot were released only after it, an instance
-    // would refuse every request after as many answers as it has slots.
+    // The callers' endpoint doesn't read on after the closing event. If the slot were released only after it, an
+    // instance would refuse every request after as many answers as it has slots.
     const engine = new fixtures.ScriptedEngine(fixtures.answerWhole);
     await using fixture = fixtures.createDispatcherFixture({ engines: { "engine-1": engine } });
     for (let index = 0; index < 40; index++) {
@@ -71,8 +71,8 @@
 });
 
 suite("a refusal says `not run` only if no engine can have run the request", async () => {
-    // Callers rely on "not run". An engine that could not be reached or was busy has not run the request, while one whose
-    // connection broke may have.
+    // Callers rely on "not run". An engine that could not be reached or was busy has not run the request, while one
+    // whose connection broke may have.
     const cases: readonly [upstreams.EngineFailureKind, core.RunCertainty][] = [
         [upstreams.EngineFailureKind.NotSent, core.RunCertainty.NotRun],
         [upstreams.EngineFailureKind.Busy, core.RunCertainty.NotRun],
@@ -102,8 +102,8 @@
 });
 
 suite("the engine's run is cancelled when the caller disconnects", async () => {
-    // The caller disconnects during an answer. Without the cancellation, the engine would generate the rest for no one and
-    // occupy a slot that another request waits for.
+    // The caller disconnects during an answer. Without the cancellation, the engine would generate the rest for no one
+    // and occupy a slot that another request waits for.
     let runSignal = fixtures.neverAborted;
     const engine = new fixtures.ScriptedEngine(async function* (...[, signal]) {
         runSignal = signal;
@@ -125,8 +125,8 @@
 });
 
 suite("an engine that is leaving gets no new work and finishes its answers", async () => {
-    // Operators take an engine out while it streams an answer. It completes the answer, and new requests go to the other
-    // engine although both are alive.
+    // Operators take an engine out while it streams an answer. It completes the answer, and new requests go to the
+    // other engine although both are alive.
     const scripts = { first: fixtures.answerWhole, second: fixtures.answerWhole };
     const first = new fixtures.ScriptedEngine(scripts.first);
     const second = new fixtures.ScriptedEngine(scripts.second);
--- a/packages/entry/test/serviceCalls.test.ts
+++ b/packages/entry/test/serviceCalls.test.ts
@@ -32,8 +32,9 @@
 });
 
 suite("a booking goes to another server only if no byte of it was sent", async () => {
-    // The first server refuses the connection, so the booking may go to the second. The second crashes after it has read the
-    // booking and may have run it, so the booking goes to no third server and the caller gets an unknown outcome.
+    // The first server refuses the connection, so the booking may go to the second. The second crashes after it has
+    // read the booking and may have run it, so the booking goes to no third server and the caller gets an unknown
+    // outcome.
     const scripts = [async () => notSent, async () => mayHaveRun, async () => ran];
     const sent: string[] = [];
     const create = (id: string): fixtures.ScriptedService =>
@@ -78,8 +79,8 @@
 });
 
 suite("a denial counts only from the server that the booking was sent to", async () => {
-    // Two servers don't share their records. The first gets the booking and crashes. The second, asked for the key, correctly
-    // answers that it did not run there. Accepting that as final would book twice.
+    // Two servers don't share their records. The first gets the booking and crashes. The second, asked for the key,
+    // correctly answers that it did not run there. Accepting that as final would book twice.
     const scripts = [async () => mayHaveRun, async () => ran];
     const servers = ["server-1", "server-2"].map(
         () => new fixtures.ScriptedService(() => core.Debug.checkDefined(scripts.shift(), "script")()),
@@ -102,8 +103,8 @@
 });
 
 suite("a denied booking is never sent again if the release note gives no settle time", async () => {
-    // The connection breaks while the booking is unread in the server's socket. The server correctly answers that it did not
-    // run, and runs it a little later. Sending it again after the denials would book twice.
+    // The connection breaks while the booking is unread in the server's socket. The server correctly answers that it
+    // did not run, and runs it a little later. Sending it again after the denials would book twice.
     const scripts = [async () => mayHaveRun, async () => ran];
     const server = new fixtures.ScriptedService(() => core.Debug.checkDefined(scripts.shift(), "script")());
     server.askOutcome = { kind: upstreams.AskOutcomeKind.DidNotRun };
@@ -119,8 +120,9 @@
 });
 
 suite("a denied booking is sent again only after the first can no longer start", async () => {
-    // The connection breaks as above, and the release note says that a call starts within 5 s or never. In the first case the
-    // server runs the booking after 3 s and must not get it again. In the second it never does, and gets it a second time.
+    // The connection breaks as above, and the release note says that a call starts within 5 s or never. In the first
+    // case the server runs the booking after 3 s and must not get it again. In the second it never does, and gets it a
+    // second time.
     const fleet = fixtures.createFleet({
         servers: ["server-1"],
         safety: core.CallSafety.Askable,
@@ -147,8 +149,8 @@
 });
 
 suite("nothing is sent for a start that another instance may have taken over", async () => {
-    // The instance records the start and is paused before it sends the first byte. Meanwhile it counts as removed and its
-    // call is taken over. When it continues, its start is too old: the caller gets `not run`, and nothing is sent.
+    // The instance records the start and is paused before it sends the first byte. Meanwhile it counts as removed and
+    // its call is taken over. When it continues, its start is too old: the caller gets `not run`, and nothing is sent.
     const server = new fixtures.ScriptedService(async () => ran);
     await using fixture = fixtures.createDispatcherFixture({ services: { "server-1": server } });
     fixture.ledger.isSendAllowed = () => false;
@@ -171,8 +173,8 @@
 });
 
 suite("a booking whose instance was removed is settled without sending it again", async () => {
-    // An instance recorded the booking as started and crashed. It is unknown whether it had sent it. If the service can't be
-    // asked, the booking must never run again.
+    // An instance recorded the booking as started and crashed. It is unknown whether it had sent it. If the service
+    // can't be asked, the booking must never run again.
     const server = new fixtures.ScriptedService(async () => ran);
     await using fixture = fixtures.createDispatcherFixture({ services: { "server-1": server } });
     await fixture.dispatcher.callService(fixtures.createCall({ key: "probe" }), fixtures.neverAborted);
@@ -190,8 +192,8 @@
 });
 
 suite("bookings are refused while the key-value service is down, and completions continue", async () => {
-    // A call that may run only once can't start without a record. It is refused at once as "not run", with a retry time.
-    // Requests that need no record are not affected.
+    // A call that may run only once can't start without a record. It is refused at once as "not run", with a retry
+    // time. Requests that need no record are not affected.
     const server = new fixtures.ScriptedService(async () => ran);
     const engine = new fixtures.ScriptedEngine(fixtures.answerWhole);
     await using fixture = fixtures.createDispatcherFixture({
@@ -213,8 +215,8 @@
 });
 
 suite("a booking is recorded even if its caller has disconnected", async () => {
-    // The caller closes its connection while the booking runs. The booking is not cancelled, and a later request with the
-    // same key gets the result.
+    // The caller closes its connection while the booking runs. The booking is not cancelled, and a later request with
+    // the same key gets the result.
     let answer: (outcome: upstreams.ServiceOutcome) => void = () => undefined;
     const server = new fixtures.ScriptedService(() => new Promise(resolve => (answer = resolve)));
     await using fixture = fixtures.createDispatcherFixture({ services: { "server-1": server } });
--- a/packages/entry/test/suspects.test.ts
+++ b/packages/entry/test/suspects.test.ts
@@ -60,9 +60,10 @@
 suite(
     "a crashing request costs at most two upstreams, however often and to whichever instances it is sent",
     async () => {
-        // One request crashes each engine that runs it. Its caller sends it to several instances, at once or one after the
-        // other, and each instance would also retry it. After the first crash the request is suspect: it runs on an engine
-        // without other suspects, and on the same engine from all instances. The second crash quarantines it on all instances.
+        // One request crashes each engine that runs it. Its caller sends it to several instances, at once or one after
+        // the other, and each instance would also retry it. After the first crash the request is suspect: it runs on an
+        // engine without other suspects, and on the same engine from all instances. The second crash quarantines it on
+        // all instances.
         const property = fastCheck.asyncProperty(
             fastCheck.array(fastCheck.integer({ min: 0, max: 2 }), { minLength: 1, maxLength: 8 }),
             fastCheck.array(fastCheck.boolean(), { minLength: 8, maxLength: 8 }),
@@ -96,9 +97,10 @@
 );
 
 suite("requests that run beside a crashing request are answered", async () => {
-    // Ten callers have requests on three engines, and the request of an eleventh caller crashes its engine, twice. The ten
-    // get complete answers, continued on another engine after the crash. The eleventh gets a refusal that says that the
-    // request may have run. If suspects shared an engine, the others on it at the second crash would be refused as well.
+    // Ten callers have requests on three engines, and the request of an eleventh caller crashes its engine, twice. The
+    // ten get complete answers, continued on another engine after the crash. The eleventh gets a refusal that says that
+    // the request may have run. If suspects shared an engine, the others on it at the second crash would be refused as
+    // well.
     const engines = createFragileEngines(3);
     await using fixture = fixtures.createDispatcherFixture({ engines });
     const start = (id: string, content: string): Promise<fixtures.Answer> => {
@@ -123,7 +125,8 @@
 });
 
 suite("a broken connection to a live engine makes no request suspect", async () => {
-    // A middlebox cuts one stream. The engine still answers, so no request on it becomes suspect and the stream resumes.
+    // A middlebox cuts one stream. The engine still answers, so no request on it becomes suspect and the stream
+    // resumes.
     const cut = fixtures.createFailingScript(2, upstreams.EngineFailureKind.Broken);
     let isFirst = true;
     const script = (request: upstreams.EngineRequest): AsyncIterable<upstreams.EngineEvent> => {
--- a/packages/entry/test/wire.test.ts
+++ b/packages/entry/test/wire.test.ts
@@ -60,8 +60,8 @@
 }
 
 suite("a stream whose connection broke or went silent resumes without lost or repeated bytes", async () => {
-    // The connection to the engine breaks or goes silent for good during an answer. The caller receives byte for byte the
-    // answer of an uninterrupted run.
+    // The connection to the engine breaks or goes silent for good during an answer. The caller receives byte for byte
+    // the answer of an uninterrupted run.
     const acts: readonly ((engine: standins.EngineStandin) => void)[] = [
         () => undefined,
         engine => engine.silenceConnections(),
@@ -81,8 +81,8 @@
 });
 
 suite("the engine's slot is freed when the caller disconnects", async () => {
-    // The caller disconnects after the first token. The engine's clock is paused from then on, so that only the cancellation
-    // can end the request.
+    // The caller disconnects after the first token. The engine's clock is paused from then on, so that only the
+    // cancellation can end the request.
     const engineClock = new core.VirtualClock();
     await using engine = await startEngine(engineClock);
     await using fixture = createWiredFixture({ "engine-1": engine });
@@ -122,8 +122,8 @@
 });
 
 suite("a booking runs once when its server crashes before or after running it", async () => {
-    // The server breaks the connection, and the dispatcher can't see whether before or after the booking ran. In neither case
-    // may the booking run again. The service is asked for the key and returns the outcome.
+    // The server breaks the connection, and the dispatcher can't see whether before or after the booking ran. In
+    // neither case may the booking run again. The service is asked for the key and returns the outcome.
     for (const fault of ["deathsBeforeRun", "deathsAfterRun"] as const) {
         await using service = await standins.createServiceStandin();
         const clock = new core.SystemClock();
@@ -144,8 +144,8 @@
 });
 
 suite("a booking is not sent twice when its connection has gone silent", async () => {
-    // An open connection goes silent while idle. The next booking must not be lost on it: it is sent on a new connection
-    // instead, and runs exactly once.
+    // An open connection goes silent while idle. The next booking must not be lost on it: it is sent on a new
+    // connection instead, and runs exactly once.
     await using service = await standins.createServiceStandin();
     const clock = new core.VirtualClock();
     const client = new upstreams.HttpServiceClient({ upstream: "server-1", url: service.url, clock });
