--- a/packages/entry/src/callerFace/answers.ts
+++ b/packages/entry/src/callerFace/answers.ts
@@ -1,9 +1,9 @@
 import type * as fastify from "fastify";
 import * as core from "@boragedale/core";
 
-/** Set exactly where it is certain that nothing was sent upstream. */
+/** Response header that is set only if it is certain that the request was not run. */
 export const NotRunHeader = "boragedale-not-run";
-/** Milliseconds that the caller gives the request, counted from its arrival. */
+/** Request header with the caller's time limit in milliseconds, counted from the request's arrival. */
 export const DeadlineHeader = "boragedale-deadline-milliseconds";
 
 const Statuses: Readonly<Record<core.RefusalKind, number>> = {
@@ -27,7 +27,7 @@
     [core.RefusalKind.InternalDefect]: 500,
 };
 
-/** The one shape of every error, as OpenAI's clients read it. */
+/** Body of every error, in the form that OpenAI's clients read. */
 export interface ErrorBody {
     readonly error: {
         readonly message: string;
@@ -54,7 +54,7 @@
     return Statuses[refusal.kind];
 }
 
-/** Headers of a refusal: whether it ran, and when to come back. */
+/** Headers of a refusal: whether the request was not run, and when to retry. */
 export function getRefusalHeaders(refusal: core.Refusal): Record<string, string> {
     const headers: Record<string, string> = {};
     if (refusal.certainty === core.RunCertainty.NotRun) {
@@ -71,7 +71,7 @@
     return reply.code(getStatus(refusal)).headers(getRefusalHeaders(refusal)).send(createErrorBody(refusal));
 }
 
-/** Sends the value, or the refusal in its place. */
+/** Sends the value, or the refusal if there is none. */
 export function sendOutcome<T>(
     reply: fastify.FastifyReply,
     outcome: core.Outcome<T>,
--- a/packages/entry/src/callerFace/authentication.ts
+++ b/packages/entry/src/callerFace/authentication.ts
@@ -2,7 +2,7 @@
 import * as customers from "@boragedale/customers";
 import type * as fastify from "fastify";
 
-/** Finds callers by their bearer token. The index is rebuilt once a note, not searched once a request. */
+/** Finds callers by their bearer token, with an index that is rebuilt for each new release note. */
 export class CallerIndex {
     private generation: core.Generation | undefined;
     private callers = new customers.KeyIndex<core.CallerDescription>();
--- a/packages/entry/src/callerFace/batches.ts
+++ b/packages/entry/src/callerFace/batches.ts
@@ -3,7 +3,7 @@
 import type * as core from "@boragedale/core";
 import * as work from "@boragedale/work";
 import * as answers from "./answers.js";
-import type * as parts from "./parts.js";
+import type * as routeContext from "./routeContext.js";
 
 const BatchBody = zod.looseObject({
     input_file_id: zod.string().min(1),
@@ -27,16 +27,16 @@
 }
 
 /** `POST /v1/batches`, `GET /v1/batches`, `GET /v1/batches/{id}`, `POST /v1/batches/{id}/cancel`. */
-export function registerBatches(server: fastify.FastifyInstance, face: parts.CallerFaceParts): void {
+export function registerBatches(server: fastify.FastifyInstance, context: routeContext.RouteContext): void {
     server.post("/v1/batches", async (request, reply) => {
         const parsed = BatchBody.safeParse(request.body);
         if (!parsed.success) {
             return answers.sendRefusal(reply, answers.createBodyRefusal(zod.prettifyError(parsed.error)));
         }
-        const note = face.getNote();
-        const outcome = await face.jobs.submit({
-            caller: face.getCaller(request).id,
-            key: getSubmitKey(face, request),
+        const note = context.getNote();
+        const outcome = await context.jobs.submit({
+            caller: context.getCaller(request).id,
+            key: getSubmitKey(context, request),
             inputFile: parsed.data.input_file_id,
             endpoint: parsed.data.endpoint,
             generation: note.generation,
@@ -50,25 +50,25 @@
         if (!query.success) {
             return answers.sendRefusal(reply, answers.createBodyRefusal(zod.prettifyError(query.error)));
         }
-        const caller = face.getCaller(request).id;
-        // One more than asked for tells whether there is another page.
-        const outcome = await face.jobs.list(caller, query.data.after, query.data.limit + 1);
+        const caller = context.getCaller(request).id;
+        // Read one more than requested to know whether there is another page.
+        const outcome = await context.jobs.list(caller, query.data.after, query.data.limit + 1);
         return answers.sendOutcome(reply, outcome, jobs => presentList(jobs, query.data.limit));
     });
     server.get<{ Params: BatchParameters }>("/v1/batches/:id", async (request, reply) => {
-        const outcome = await face.jobs.read(face.getCaller(request).id, request.params.id);
+        const outcome = await context.jobs.read(context.getCaller(request).id, request.params.id);
         return answers.sendOutcome(reply, outcome, presentBatch);
     });
     server.post<{ Params: BatchParameters }>("/v1/batches/:id/cancel", async (request, reply) => {
-        const outcome = await face.jobs.cancel(face.getCaller(request).id, request.params.id);
+        const outcome = await context.jobs.cancel(context.getCaller(request).id, request.params.id);
         return answers.sendOutcome(reply, outcome, presentBatch);
     });
 }
 
-/** Without a key, a client that resends a submission makes a second job: that risk is then its own. */
-function getSubmitKey(face: parts.CallerFaceParts, request: fastify.FastifyRequest): string {
+/** A submission without a key gets a generated one. A client that sends it again then creates a second job. */
+function getSubmitKey(context: routeContext.RouteContext, request: fastify.FastifyRequest): string {
     const given = request.headers["idempotency-key"];
-    return typeof given === "string" && given !== "" ? given : face.createId("submit");
+    return typeof given === "string" && given !== "" ? given : context.createId("submit");
 }
 
 function getWindow(window: string | undefined, note: core.NoteInForce): number {
@@ -89,7 +89,7 @@
     };
 }
 
-/** OpenAI's batch object. Output and error files can be read while the job still runs. */
+/** Creates OpenAI's batch object. Output and error files can be read while the job runs. */
 export function presentBatch(job: work.JobDescription): object {
     const endedAt = job.endedAt === undefined ? undefined : Math.floor(job.endedAt / 1_000);
     return {
--- a/packages/entry/src/callerFace/completions.ts
+++ b/packages/entry/src/callerFace/completions.ts
@@ -4,20 +4,20 @@
 import * as dispatch from "../dispatch/types.js";
 import * as answers from "./answers.js";
 import * as eventStream from "./eventStream.js";
-import type * as parts from "./parts.js";
+import type * as routeContext from "./routeContext.js";
 
 const TokenLimit = zod.int().min(1).nullable();
 
 /**
- * What is read of the body; the rest goes to the engine as it came. Features whose answers can't be put together
- * again after a resumed stream are refused instead of being answered wrongly.
+ * The fields of the body that are read here. All others are passed to the engine unchanged. Features whose answers
+ * can't be reassembled after a resumed stream are refused instead of being answered wrongly.
  */
 const CompletionBody = zod.looseObject({
     model: zod.string().min(1),
     messages: zod.array(zod.looseObject({ role: zod.string() })).min(1),
     stream: zod.boolean().optional(),
     stream_options: zod.looseObject({ include_usage: zod.boolean().optional() }).optional(),
-    // The ranges of OpenAI's reference. A limit of -1 went to the engine and came back as a whole answer without a token.
+    // The ranges of OpenAI's reference. With a limit of -1, an engine returns a complete answer without a token.
     max_tokens: TokenLimit.optional(),
     max_completion_tokens: TokenLimit.optional(),
     temperature: zod.number().min(0).max(2).nullish(),
@@ -32,45 +32,45 @@
 
 type CompletionBody = zod.infer<typeof CompletionBody>;
 
-interface CollectedAnswer {
+interface CompleteAnswer {
     readonly text: string;
     readonly reason: string;
     readonly usage: ReturnType<typeof presentUsage>;
 }
 
-/** `POST /v1/chat/completions`, streamed or whole. */
-export function registerCompletions(server: fastify.FastifyInstance, face: parts.CallerFaceParts): void {
+/** `POST /v1/chat/completions`, streamed or as one response. */
+export function registerCompletions(server: fastify.FastifyInstance, context: routeContext.RouteContext): void {
     server.post("/v1/chat/completions", async (request, reply) => {
         const parsed = CompletionBody.safeParse(request.body);
         if (!parsed.success) {
             return answers.sendRefusal(reply, answers.createBodyRefusal(zod.prettifyError(parsed.error)));
         }
-        const completion = createCompletionRequest(face, request, parsed.data);
+        const completion = createCompletionRequest(context, request, parsed.data);
         const signal = eventStream.createDisconnectSignal(reply);
-        const events = face.dispatcher.complete(completion, signal);
+        const events = context.dispatcher.complete(completion, signal);
         if (parsed.data.stream === true) {
             return sendStream(reply, completion, parsed.data, events);
         }
-        return sendWhole(reply, completion, events);
+        return sendComplete(reply, completion, events);
     });
 }
 
 function createCompletionRequest(
-    face: parts.CallerFaceParts,
+    context: routeContext.RouteContext,
     request: fastify.FastifyRequest,
     body: CompletionBody,
 ): dispatch.CompletionRequest {
     return {
-        id: face.createId("chatcmpl"),
-        caller: face.getCaller(request).id,
+        id: context.createId("chatcmpl"),
+        caller: context.getCaller(request).id,
         requestClass: core.RequestClass.Online,
         model: body.model,
         body,
-        deadlineAt: face.getDeadline(request),
+        deadlineAt: context.getDeadline(request),
     };
 }
 
-async function sendWhole(
+async function sendComplete(
     reply: fastify.FastifyReply,
     request: dispatch.CompletionRequest,
     events: AsyncIterable<dispatch.StreamEvent>,
@@ -86,7 +86,7 @@
     }));
 }
 
-async function collectAnswer(events: AsyncIterable<dispatch.StreamEvent>): Promise<core.Outcome<CollectedAnswer>> {
+async function collectAnswer(events: AsyncIterable<dispatch.StreamEvent>): Promise<core.Outcome<CompleteAnswer>> {
     const pieces: string[] = [];
     for await (const event of events) {
         switch (event.kind) {
@@ -105,8 +105,8 @@
 }
 
 /**
- * The status line waits for the first event, so that a refusal still gets its own status; after the first token an
- * error can only be an event of the stream, and the closing `[DONE]` is left out so that no client takes it as whole.
+ * Sends the status line only with the first event, so that a refusal gets its own status. After the first token, an
+ * error can only be sent as an event, without the closing `[DONE]`, so that no client treats the answer as complete.
  */
 async function sendStream(
     reply: fastify.FastifyReply,
@@ -147,7 +147,7 @@
     return reply;
 }
 
-/** OpenAI's clients expect the JSON word in `finish_reason` until the last chunk. */
+/** OpenAI's clients expect `finish_reason` to be null in JSON until the last chunk. */
 const JsonNull = JSON.parse("null") as undefined;
 
 function createChunk(request: dispatch.CompletionRequest, choices: readonly object[]): object {
--- a/packages/entry/src/callerFace/eventStream.ts
+++ b/packages/entry/src/callerFace/eventStream.ts
@@ -1,6 +1,9 @@
 import type * as fastify from "fastify";
 
-/** Server-sent events to one caller, with back-pressure: a slow caller holds up its own stream and buffers little. */
+/**
+ * Writes server-sent events to one caller, with back-pressure: a slow caller delays only its own stream and buffers
+ * little.
+ */
 export class EventStream {
     private readonly response: fastify.FastifyReply["raw"];
     private pending = "";
@@ -25,7 +28,8 @@
             return;
         }
         if (this.pending === "") {
-            // Runs once all that can be written now has been: a system call for each token was a third of the cost.
+            // Collect everything that is written in this turn, since a system call for each token is a third of the
+            // cost.
             process.nextTick(() => this.flush());
         }
         this.pending += `data: ${text}\n\n`;
@@ -52,7 +56,7 @@
     }
 }
 
-/** Aborted when the caller's connection ends before the answer does: the work is cancelled at the engine. */
+/** Creates a signal that aborts when the caller disconnects before the answer is complete, which cancels the work. */
 export function createDisconnectSignal(reply: fastify.FastifyReply): AbortSignal {
     const controller = new AbortController();
     reply.raw.once("close", () => {
@@ -63,7 +67,7 @@
     return controller.signal;
 }
 
-/** A caller that goes away never drains; without the second event the stream's task would wait for good. */
+/** Waits for `drain` or `close`. The response of a caller that disconnects never drains. */
 async function waitForDrain(response: fastify.FastifyReply["raw"]): Promise<void> {
     await new Promise<void>(resolve => {
         const finish = (): void => {
--- a/packages/entry/src/callerFace/files.ts
+++ b/packages/entry/src/callerFace/files.ts
@@ -4,47 +4,47 @@
 import * as core from "@boragedale/core";
 import type * as work from "@boragedale/work";
 import * as answers from "./answers.js";
-import type * as parts from "./parts.js";
+import type * as routeContext from "./routeContext.js";
 
 interface FileParameters {
     readonly id: string;
 }
 
 /** `POST /v1/files`, `GET /v1/files/{id}`, `GET /v1/files/{id}/content`. */
-export function registerFiles(server: fastify.FastifyInstance, face: parts.CallerFaceParts): void {
+export function registerFiles(server: fastify.FastifyInstance, context: routeContext.RouteContext): void {
     server.post("/v1/files", async (request, reply) => {
         if (!request.isMultipart()) {
             return answers.sendRefusal(reply, answers.createBodyRefusal("multipart/form-data is expected"));
         }
-        return answers.sendOutcome(reply, await receiveFile(face, request), presentFile);
+        return answers.sendOutcome(reply, await receiveFile(context, request), presentFile);
     });
     server.get<{ Params: FileParameters }>("/v1/files/:id", async (request, reply) => {
-        const outcome = await face.jobs.readFile(face.getCaller(request).id, request.params.id);
+        const outcome = await context.jobs.readFile(context.getCaller(request).id, request.params.id);
         return answers.sendOutcome(reply, outcome, presentFile);
     });
     server.get<{ Params: FileParameters }>("/v1/files/:id/content", async (request, reply) => {
-        const outcome = await face.jobs.readContent(face.getCaller(request).id, request.params.id);
+        const outcome = await context.jobs.readContent(context.getCaller(request).id, request.params.id);
         reply.type("application/jsonl");
         return answers.sendOutcome(reply, outcome, content => stream.Readable.from(content, { objectMode: false }));
     });
 }
 
 /**
- * Reads the form part by part and streams the file straight into the store. Clients send `purpose` before or after
- * the file, so it is checked at the end.
+ * Reads the form part by part and streams the file directly into the store. Clients send `purpose` before or after the
+ * file, so it is checked at the end.
  */
 async function receiveFile(
-    face: parts.CallerFaceParts,
+    context: routeContext.RouteContext,
     request: fastify.FastifyRequest,
 ): Promise<core.Outcome<work.FileDescription>> {
     let stored: core.Outcome<work.FileDescription> | undefined;
     let purpose = "batch";
-    for await (const part of request.parts({ limits: { fileSize: face.fileLimitBytes, files: 1 } })) {
+    for await (const part of request.parts({ limits: { fileSize: context.fileLimitBytes, files: 1 } })) {
         if (part.type === "field") {
             purpose = part.fieldname === "purpose" ? String(part.value) : purpose;
             continue;
         }
-        stored = await storeFile(face, request, part);
+        stored = await storeFile(context, request, part);
         if (!stored.ok) {
             return stored;
         }
@@ -56,14 +56,14 @@
 }
 
 async function storeFile(
-    face: parts.CallerFaceParts,
+    context: routeContext.RouteContext,
     request: fastify.FastifyRequest,
     part: multipart.MultipartFile,
 ): Promise<core.Outcome<work.FileDescription>> {
-    const caller = face.getCaller(request).id;
-    const stored = await face.jobs.createFile(caller, part.filename, "batch", part.file);
+    const caller = context.getCaller(request).id;
+    const stored = await context.jobs.createFile(caller, part.filename, "batch", part.file);
     if (part.file.truncated) {
-        return core.createFailure(createTooLargeRefusal(face.fileLimitBytes));
+        return core.createFailure(createTooLargeRefusal(context.fileLimitBytes));
     }
     return stored;
 }
--- a/packages/entry/src/callerFace/models.ts
+++ b/packages/entry/src/callerFace/models.ts
@@ -1,17 +1,17 @@
 import type * as fastify from "fastify";
 import type * as core from "@boragedale/core";
 import * as answers from "./answers.js";
-import type * as parts from "./parts.js";
+import type * as routeContext from "./routeContext.js";
 
 interface ModelParameters {
     readonly model: string;
 }
 
-/** `GET /v1/models` and `GET /v1/models/{model}`: the models and adapters of the note in force. */
-export function registerModels(server: fastify.FastifyInstance, face: parts.CallerFaceParts): void {
-    server.get("/v1/models", async () => ({ object: "list", data: presentModels(face.getNote()) }));
+/** `GET /v1/models` and `GET /v1/models/{model}`: the models and adapters of the release note in force. */
+export function registerModels(server: fastify.FastifyInstance, context: routeContext.RouteContext): void {
+    server.get("/v1/models", async () => ({ object: "list", data: presentModels(context.getNote()) }));
     server.get<{ Params: ModelParameters }>("/v1/models/:model", async (request, reply) => {
-        const model = presentModels(face.getNote()).find(candidate => candidate.id === request.params.model);
+        const model = presentModels(context.getNote()).find(candidate => candidate.id === request.params.model);
         if (model === undefined) {
             return answers.sendRefusal(reply, answers.createNotFoundRefusal("model", request.params.model));
         }
--- a/packages/entry/src/callerFace/parts.ts
+++ b/packages/entry/src/callerFace/routeContext.ts
@@ -5,8 +5,8 @@
 import type * as work from "@boragedale/work";
 import type * as dispatch from "../dispatch/types.js";
 
-/** What the routes of the caller face work with. */
-export interface CallerFaceParts {
+/** Dependencies and helpers of the routes of the callers' endpoint. */
+export interface RouteContext {
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
     readonly keeper: release.NoteKeeper;
@@ -14,10 +14,10 @@
     readonly ledger: work.CallLedger;
     readonly jobs: work.JobStore;
     readonly fileLimitBytes: number;
-    /** The caller that the request's token belongs to; only within routes behind the authentication hook. */
+    /** The caller that the request's token belongs to. Only for routes behind the authentication hook. */
     getCaller(request: fastify.FastifyRequest): core.CallerDescription;
     getNote(): core.NoteInForce;
-    /** Monotonic time by which the answer must be there, from the deadline header or the note's policy. */
+    /** Monotonic time by which the answer must be complete, from the deadline header or the release note's policy. */
     getDeadline(request: fastify.FastifyRequest): core.MonotonicMilliseconds;
     createId(prefix: string): string;
 }
--- a/packages/entry/src/callerFace/server.ts
+++ b/packages/entry/src/callerFace/server.ts
@@ -12,10 +12,10 @@
 import * as completions from "./completions.js";
 import * as files from "./files.js";
 import * as models from "./models.js";
-import type * as parts from "./parts.js";
+import type * as routeContext from "./routeContext.js";
 import * as services from "./services.js";
 
-export interface CallerFaceOptions {
+export interface CallerEndpointOptions {
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
     readonly keeper: release.NoteKeeper;
@@ -24,28 +24,34 @@
     readonly jobs: work.JobStore;
     readonly bodyLimitBytes: number;
     readonly fileLimitBytes: number;
-    /** Whether the instance is leaving: the balancer should look elsewhere, though requests are still taken. */
+    /**
+     * Whether the instance has announced that it is leaving. The balancer should stop using it, but requests are
+     * accepted.
+     */
     readonly isAnnounced: () => boolean;
-    /** Whether the instance takes no new requests. */
+    /** Whether the instance refuses new requests. */
     readonly isDraining: () => boolean;
-    /** Why the instance should get no requests from the balancer, or undefined when it should. */
+    /** The reason why the balancer should send no requests to the instance, or undefined if it may. */
     readonly tryGetUnreadiness: () => string | undefined;
 }
 
-/** When a caller should send a request again that met a leaving instance: the balancer has moved on by then. */
+/** Retry delay for requests that a leaving instance refused. By then the balancer uses other instances. */
 const LeavingRetryMilliseconds = 200;
-const LongestDeadlineMilliseconds = 3_600_000;
-/** Bytes of a request's headers; Node's own limit, named here since it bounds memory for each connection. */
+const MaximumDeadlineMilliseconds = 3_600_000;
+/**
+ * Limit on a request's headers. The same as the default of Node.js, set here since it bounds memory for each
+ * connection.
+ */
 const HeaderLimitBytes = 16_384;
 
-/** Makes the caller face; `listen` is up to the instance. */
-export function createCallerFace(options: CallerFaceOptions): fastify.FastifyInstance {
+/** Creates the callers' endpoint. It doesn't listen by itself; see `EndpointListener`. */
+export function createCallerEndpoint(options: CallerEndpointOptions): fastify.FastifyInstance {
     const server = fastify.fastify({
         bodyLimit: options.bodyLimitBytes,
         forceCloseConnections: "idle",
         http: { maxHeaderSize: HeaderLimitBytes },
         routerOptions: { maxParamLength: 512 },
-        // A malformed percent escape in a path has no route, but still gets the error shape.
+        // A malformed percent escape in a path matches no route, but is answered with the usual error body.
         frameworkErrors: (error, request, reply) => void sendError(options, error, request, reply),
     });
     server.setErrorHandler((error, request, reply) => sendError(options, error, request, reply));
@@ -54,13 +60,13 @@
     );
     registerHealth(server, options);
     void server.register(async guarded => {
-        await registerGuarded(guarded, options);
+        await registerAuthenticated(guarded, options);
     });
     return server;
 }
 
 /** `/livez`, `/readyz` and `/metrics` need no token: the platform's balancer and scraper have none. */
-function registerHealth(server: fastify.FastifyInstance, options: CallerFaceOptions): void {
+function registerHealth(server: fastify.FastifyInstance, options: CallerEndpointOptions): void {
     server.get("/livez", async () => ({ status: "live" }));
     server.get("/readyz", async (request, reply) => {
         const reason = options.isAnnounced() ? "leaving" : options.tryGetUnreadiness();
@@ -69,7 +75,7 @@
     server.get("/metrics", async (request, reply) => reply.type("text/plain").send(options.telemetry.metrics.format()));
 }
 
-async function registerGuarded(server: fastify.FastifyInstance, options: CallerFaceOptions): Promise<void> {
+async function registerAuthenticated(server: fastify.FastifyInstance, options: CallerEndpointOptions): Promise<void> {
     const callers = new WeakMap<fastify.FastifyRequest, core.CallerDescription>();
     const index = new authentication.CallerIndex();
     await server.register(multipart);
@@ -81,21 +87,21 @@
         callers.set(request, admission.value);
         return undefined;
     });
-    const face = createParts(options, callers);
-    completions.registerCompletions(server, face);
-    models.registerModels(server, face);
-    files.registerFiles(server, face);
-    batches.registerBatches(server, face);
+    const context = createRouteContext(options, callers);
+    completions.registerCompletions(server, context);
+    models.registerModels(server, context);
+    files.registerFiles(server, context);
+    batches.registerBatches(server, context);
     await server.register(async raw => {
-        // Plain services get their body as it came, whatever its type.
+        // Pass bodies to plain services unchanged, whatever their content type.
         raw.removeAllContentTypeParsers();
         raw.addContentTypeParser("*", { parseAs: "buffer" }, async (request: unknown, body: unknown) => body);
-        services.registerServices(raw, face);
+        services.registerServices(raw, context);
     });
 }
 
 function admit(
-    options: CallerFaceOptions,
+    options: CallerEndpointOptions,
     index: authentication.CallerIndex,
     request: fastify.FastifyRequest,
 ): core.Outcome<core.CallerDescription> {
@@ -122,10 +128,10 @@
     return core.createFailure(core.createRefusal({ kind, message, certainty, retryAfterMilliseconds }));
 }
 
-function createParts(
-    options: CallerFaceOptions,
+function createRouteContext(
+    options: CallerEndpointOptions,
     callers: WeakMap<fastify.FastifyRequest, core.CallerDescription>,
-): parts.CallerFaceParts {
+): routeContext.RouteContext {
     const getNote = (): core.NoteInForce => core.Debug.checkDefined(options.keeper.tryGetNote(), "note in force");
     return {
         clock: options.clock,
@@ -141,15 +147,15 @@
             const given = Number(request.headers[answers.DeadlineHeader]);
             const isGiven = Number.isFinite(given) && given > 0;
             const wait = isGiven ? given : getNote().fleet.policy.onlineDeadlineMilliseconds;
-            return options.clock.now() + Math.min(wait, LongestDeadlineMilliseconds);
+            return options.clock.now() + Math.min(wait, MaximumDeadlineMilliseconds);
         },
         createId: prefix => `${prefix}-${crypto.randomUUID()}`,
     };
 }
 
-/** Everything that went wrong before a route could answer: bad JSON, too large a body, a defect. */
+/** Answers errors that no route handled, such as invalid JSON, a body that is too large, or a defect. */
 function sendError(
-    options: CallerFaceOptions,
+    options: CallerEndpointOptions,
     error: unknown,
     request: fastify.FastifyRequest,
     reply: fastify.FastifyReply,
@@ -174,7 +180,7 @@
     );
 }
 
-function createTooLarge(options: CallerFaceOptions, outcome: core.Outcome<never>): core.Refusal {
+function createTooLarge(options: CallerEndpointOptions, outcome: core.Outcome<never>): core.Refusal {
     core.Debug.assert(!outcome.ok, "a refusal");
     const text = core.messages.formatMessage(core.messages.BodyTooLarge, options.bodyLimitBytes);
     return { ...outcome.refusal, text };
--- a/packages/entry/src/callerFace/services.ts
+++ b/packages/entry/src/callerFace/services.ts
@@ -3,14 +3,16 @@
 import type * as work from "@boragedale/work";
 import * as answers from "./answers.js";
 import * as eventStream from "./eventStream.js";
-import type * as parts from "./parts.js";
+import type * as routeContext from "./routeContext.js";
 
-/** Tells a caller that sent none which idempotency key its call was given. */
+/** The idempotency key of a call. Also set on the response, so that a caller that sent none gets the generated key. */
 const KeyHeader = "idempotency-key";
-const LongestKey = 256;
+const MaximumKeyLength = 256;
 
-/** Headers that belong to one connection and never travel through (RFC 9110, section 7.6.1), and our own. */
-const HopHeaders = new Set([
+/**
+ * Headers that are not forwarded: those of a single connection (RFC 9110, section 7.6.1), and those that entry handles.
+ */
+const ExcludedHeaders = new Set([
     "authorization",
     "connection",
     "content-length",
@@ -36,14 +38,14 @@
 }
 
 /** `ANY /services/{service}/*` for plain services, and `GET /v1/calls/{idempotency key}`. */
-export function registerServices(server: fastify.FastifyInstance, face: parts.CallerFaceParts): void {
+export function registerServices(server: fastify.FastifyInstance, context: routeContext.RouteContext): void {
     server.all<{ Params: ServiceParameters }>("/services/:service/*", async (request, reply) => {
-        const key = getKey(face, request);
+        const key = getKey(context, request);
         if (key === undefined) {
-            return answers.sendRefusal(reply, answers.createBodyRefusal(`the key is longer than ${LongestKey}`));
+            return answers.sendRefusal(reply, answers.createBodyRefusal(`the key is longer than ${MaximumKeyLength}`));
         }
         const signal = eventStream.createDisconnectSignal(reply);
-        const outcome = await face.dispatcher.callService(createServiceCall(face, request, key), signal);
+        const outcome = await context.dispatcher.callService(createServiceCall(context, request, key), signal);
         reply.header(KeyHeader, key);
         if (!outcome.ok) {
             return answers.sendRefusal(reply, outcome.refusal);
@@ -51,8 +53,8 @@
         return sendResult(reply, outcome.value);
     });
     server.get<{ Params: CallParameters }>("/v1/calls/:key", async (request, reply) => {
-        const identity = { caller: face.getCaller(request).id, key: request.params.key };
-        const outcome = await face.ledger.read(identity);
+        const identity = { caller: context.getCaller(request).id, key: request.params.key };
+        const outcome = await context.ledger.read(identity);
         if (outcome.ok && outcome.value === undefined) {
             return answers.sendRefusal(reply, answers.createNotFoundRefusal("call", request.params.key));
         }
@@ -61,14 +63,14 @@
 }
 
 function createServiceCall(
-    face: parts.CallerFaceParts,
+    context: routeContext.RouteContext,
     request: fastify.FastifyRequest<{ Params: ServiceParameters }>,
     key: string,
-): Parameters<typeof face.dispatcher.callService>[0] {
+): Parameters<typeof context.dispatcher.callService>[0] {
     const prefix = `/services/${request.params.service}`;
     return {
-        id: face.createId("call"),
-        caller: face.getCaller(request).id,
+        id: context.createId("call"),
+        caller: context.getCaller(request).id,
         requestClass: core.RequestClass.Online,
         service: request.params.service,
         method: request.method,
@@ -76,22 +78,22 @@
         headers: selectHeaders(request.headers),
         body: Buffer.isBuffer(request.body) ? request.body : undefined,
         key,
-        deadlineAt: face.getDeadline(request),
+        deadlineAt: context.getDeadline(request),
     };
 }
 
-function getKey(face: parts.CallerFaceParts, request: fastify.FastifyRequest): string | undefined {
+function getKey(context: routeContext.RouteContext, request: fastify.FastifyRequest): string | undefined {
     const given = request.headers[KeyHeader];
     if (typeof given !== "string" || given === "") {
-        return face.createId("key");
+        return context.createId("key");
     }
-    return given.length > LongestKey ? undefined : given;
+    return given.length > MaximumKeyLength ? undefined : given;
 }
 
 function selectHeaders(headers: Readonly<Record<string, string | string[] | undefined>>): Record<string, string> {
     const selected: Record<string, string> = {};
     for (const [name, value] of Object.entries(headers)) {
-        if (value !== undefined && !HopHeaders.has(name)) {
+        if (value !== undefined && !ExcludedHeaders.has(name)) {
             selected[name] = Array.isArray(value) ? value.join(", ") : value;
         }
     }
--- a/packages/entry/src/faceListener.ts
+++ b/packages/entry/src/endpointListener.ts
@@ -2,28 +2,30 @@
 import type * as net from "node:net";
 import type * as fastify from "fastify";
 
-/** Longest time that a caller may take to send its request's headers; a slower one holds a connection for nothing. */
+/** How long a caller may take to send its request's headers. A slower one would occupy a connection for nothing. */
 const HeadersTimeoutMilliseconds = 10_000;
-/** Longer than balancers keep idle connections, so that they close them and no request meets a closing one. */
+/**
+ * Longer than balancers keep idle connections, so that they close them first and no request arrives on a closing one.
+ */
 const KeepAliveTimeoutMilliseconds = 75_000;
 
 /**
- * A listening address that exists before the face behind it: the instance's description needs the port, and the parts
- * behind the face need the description. Until a face is attached it answers 503.
+ * Listens on an address before its endpoint exists. The instance's description needs the port, and the parts behind the
+ * endpoint need the description. Until an endpoint is attached, every request is answered with 503.
  */
-export class FaceListener implements AsyncDisposable {
-    private face: fastify.FastifyInstance | undefined;
+export class EndpointListener implements AsyncDisposable {
+    private endpoint: fastify.FastifyInstance | undefined;
 
     private constructor(private readonly server: http.Server) {
         server.on("request", (request, response) => this.route(request, response));
     }
 
-    static async listen(host: string, port: number): Promise<FaceListener> {
+    static async listen(host: string, port: number): Promise<EndpointListener> {
         const server = http.createServer({
             headersTimeout: HeadersTimeoutMilliseconds,
             keepAliveTimeout: KeepAliveTimeoutMilliseconds,
         });
-        const listener = new FaceListener(server);
+        const listener = new EndpointListener(server);
         await new Promise<void>((resolve, reject) => {
             server.once("error", reject);
             server.listen(port, host, () => resolve());
@@ -35,24 +37,24 @@
         return (this.server.address() as net.AddressInfo).port;
     }
 
-    async attach(face: fastify.FastifyInstance): Promise<void> {
-        await face.ready();
-        this.face = face;
+    async attach(endpoint: fastify.FastifyInstance): Promise<void> {
+        await endpoint.ready();
+        this.endpoint = endpoint;
     }
 
-    /** Takes no new connections and returns when the last answer was sent. */
+    /** Stops accepting connections and resolves when the last answer has been sent. */
     async [Symbol.asyncDispose](): Promise<void> {
         const closed = new Promise<void>(resolve => this.server.close(() => resolve()));
         this.server.closeIdleConnections();
         await closed;
-        await this.face?.close();
+        await this.endpoint?.close();
     }
 
     private route(request: http.IncomingMessage, response: http.ServerResponse): void {
-        if (this.face === undefined) {
+        if (this.endpoint === undefined) {
             response.writeHead(503, { "retry-after": "1" }).end();
             return;
         }
-        this.face.routing(request, response);
+        this.endpoint.routing(request, response);
     }
 }
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** One entry instance: settings, composition, faces, drain and stop. */
+/** An entry instance: its settings, composition, endpoints, and graceful stop. */
 export * from "./settings.js";
 export * from "./instance.js";
 export * as dispatch from "./dispatch/index.js";
--- a/packages/entry/src/instance.ts
+++ b/packages/entry/src/instance.ts
@@ -2,30 +2,30 @@
 import * as telemetry from "@boragedale/telemetry";
 import * as callerFace from "./callerFace/server.js";
 import * as composition from "./composition.js";
-import * as faceListener from "./faceListener.js";
+import * as endpointListener from "./endpointListener.js";
 import * as operatorFace from "./operatorFace/server.js";
 import type * as settings from "./settings.js";
 
-/** An entry instance that serves. Disposing it stops it at once; `drain` and `waitUntilDrained` stop it gracefully. */
+/** A running entry instance. Disposing it stops it at once, and `drain` and `waitUntilDrained` stop it gracefully. */
 export interface Instance extends AsyncDisposable {
     readonly description: core.InstanceDescription;
     readonly parts: composition.Parts;
-    /** Begins a graceful stop; harmless when it has begun. */
+    /** Begins a graceful stop. Does nothing if it has already begun. */
     drain(): void;
-    /** Resolves when a stop was asked for and nothing is in progress any more. */
+    /** Resolves when a graceful stop has begun and no request is in progress any more. */
     waitUntilDrained(): Promise<void>;
 }
 
 const DrainPollMilliseconds = 50;
 
-/** Starts every part of one instance and listens on its faces. */
+/** Starts all parts of an instance and listens on its endpoints. */
 export async function startInstance(given: settings.EntrySettings): Promise<Instance> {
     const owned = new core.DisposalStack();
     try {
         return await start(given, owned);
     }
     catch (error) {
-        // A port that is taken must not leave the parts that already run behind.
+        // Stop the parts that already run, for example when a port is taken.
         await owned[Symbol.asyncDispose]();
         throw error;
     }
@@ -34,13 +34,13 @@
 async function start(given: settings.EntrySettings, owned: core.DisposalStack): Promise<Instance> {
     const clock = new core.SystemClock();
     const container = composition.createContainer({ settings: given, clock });
-    const callers = owned.use(await faceListener.FaceListener.listen(given.host, given.callerPort));
-    const operators = owned.use(await faceListener.FaceListener.listen(given.host, given.operatorPort));
+    const callers = owned.use(await endpointListener.EndpointListener.listen(given.host, given.callerPort));
+    const operators = owned.use(await endpointListener.EndpointListener.listen(given.host, given.operatorPort));
     const ports = { caller: callers.getPort(), operator: operators.getPort() };
     const parts = await composition.startParts(container, ports, owned);
     const drain = new Drain(parts, given.drainGraceMilliseconds);
-    await operators.attach(createOperatorFace(parts, drain));
-    await callers.attach(createCallerFace(parts, drain));
+    await operators.attach(createOperatorEndpoint(parts, drain));
+    await callers.attach(createCallerEndpoint(parts, drain));
     parts.telemetry.record(telemetry.events.InstanceStarted, { text: parts.description.callerUrl });
     return {
         description: parts.description,
@@ -55,9 +55,9 @@
 }
 
 /**
- * A graceful stop. The balancer and the peers learn of it first, while requests are still taken: a balancer that has
- * not looked yet would otherwise hand callers a refusal. Then new requests are refused as not run, and the stop waits
- * for what is in progress, however long a stream takes.
+ * A graceful stop. It is first announced to the balancer and the peers while requests are still accepted, because a
+ * balancer that hasn't noticed yet would otherwise pass refusals on to callers. New requests are then refused as not
+ * run, and the stop waits for all requests in progress, however long a stream takes.
  */
 class Drain {
     readonly ended: Promise<void>;
@@ -95,8 +95,11 @@
     }
 }
 
-function createCallerFace(parts: composition.Parts, drain: Drain): ReturnType<typeof callerFace.createCallerFace> {
-    return callerFace.createCallerFace({
+function createCallerEndpoint(
+    parts: composition.Parts,
+    drain: Drain,
+): ReturnType<typeof callerFace.createCallerEndpoint> {
+    return callerFace.createCallerEndpoint({
         ...pickShared(parts),
         clock: parts.clock,
         dispatcher: parts.dispatcher,
@@ -109,11 +112,11 @@
     });
 }
 
-function createOperatorFace(
+function createOperatorEndpoint(
     parts: composition.Parts,
     drain: Drain,
-): ReturnType<typeof operatorFace.createOperatorFace> {
-    return operatorFace.createOperatorFace({
+): ReturnType<typeof operatorFace.createOperatorEndpoint> {
+    return operatorFace.createOperatorEndpoint({
         ...pickShared(parts),
         instance: parts.description,
         operatorToken: parts.settings.operatorToken,
@@ -132,7 +135,10 @@
     return { telemetry: parts.telemetry, keeper: parts.keeper, ledger: parts.ledger };
 }
 
-/** An instance cut off from the platform and from all peers may act on an old note: it should get no requests. */
+/**
+ * Why the instance should get no requests. One without contact to the platform and all peers may use an old release
+ * note.
+ */
 function tryGetUnreadiness(parts: composition.Parts): string | undefined {
     if (parts.keeper.tryGetNote() === undefined) {
         return "no release note is in force here";
--- a/packages/entry/src/operatorFace/server.ts
+++ b/packages/entry/src/operatorFace/server.ts
@@ -8,7 +8,7 @@
 import type * as work from "@boragedale/work";
 import * as answers from "../callerFace/answers.js";
 
-export interface OperatorFaceOptions {
+export interface OperatorEndpointOptions {
     readonly instance: core.InstanceDescription;
     readonly operatorToken: string;
     readonly telemetry: telemetry.Telemetry;
@@ -25,7 +25,7 @@
     readonly drain: () => void;
 }
 
-/** What one instance says of itself; the command line puts the fleet's together. */
+/** Status of one instance. The command line combines those of the whole fleet. */
 export interface InstanceStatus {
     readonly instance: core.InstanceDescription;
     readonly generation: core.Generation;
@@ -57,8 +57,8 @@
 
 const NoteLimitBytes = 2_000_000;
 
-/** Makes the operator face: for operators and the command line, on its own address and with its own token. */
-export function createOperatorFace(options: OperatorFaceOptions): fastify.FastifyInstance {
+/** Creates the endpoint for operators and the command line, with its own address and token. */
+export function createOperatorEndpoint(options: OperatorEndpointOptions): fastify.FastifyInstance {
     const server = fastify.fastify({ bodyLimit: NoteLimitBytes, forceCloseConnections: "idle" });
     server.addHook("onRequest", async (request, reply) => {
         const token = customers.tryGetBearerToken(request.headers.authorization);
@@ -71,9 +71,9 @@
         const text = error instanceof Error ? error.message : String(error);
         return reply.code(400).send({ error: { code: "body_invalid", message: text } });
     });
-    registerReading(server, options);
-    registerOrphaned(server, options);
-    registerPublishing(server, options);
+    registerReadRoutes(server, options);
+    registerOrphanedCalls(server, options);
+    registerPublishRoutes(server, options);
     server.post("/operator/drain", async () => {
         options.drain();
         return { isDraining: true };
@@ -81,7 +81,7 @@
     return server;
 }
 
-function registerReading(server: fastify.FastifyInstance, options: OperatorFaceOptions): void {
+function registerReadRoutes(server: fastify.FastifyInstance, options: OperatorEndpointOptions): void {
     server.get("/operator/status", async () => createStatus(options));
     server.get("/operator/note", async (request, reply) => {
         const note = options.keeper.tryGetNote();
@@ -96,14 +96,17 @@
     });
     server.get("/operator/outcomes-unknown", async (request, reply) =>
         answers.sendOutcome(reply, await options.ledger.listOutcomesUnknown(), calls => ({
-            // The result is the caller's own; operators see who, when and where.
+            // The result is private to the caller. Operators see the caller, time and place of the call.
             calls: calls.map(call => ({ ...call, result: undefined })),
         })),
     );
 }
 
-/** Calls whose instance is gone and which nobody has asked for since; the next request with the key settles them. */
-function registerOrphaned(server: fastify.FastifyInstance, options: OperatorFaceOptions): void {
+/**
+ * Lists calls whose instance was removed and that haven't been requested since. The next request with the key settles
+ * them.
+ */
+function registerOrphanedCalls(server: fastify.FastifyInstance, options: OperatorEndpointOptions): void {
     server.get("/operator/calls-orphaned", async (request, reply) =>
         answers.sendOutcome(reply, await options.ledger.listOrphaned(), calls => ({
             calls: calls.map(call => ({ ...call, result: undefined })),
@@ -111,7 +114,7 @@
     );
 }
 
-function registerPublishing(server: fastify.FastifyInstance, options: OperatorFaceOptions): void {
+function registerPublishRoutes(server: fastify.FastifyInstance, options: OperatorEndpointOptions): void {
     server.post("/operator/check", async request => {
         const body = CheckBody.parse(request.body);
         return release.checkNote(body.source, body.file, options.keeper.tryGetNote()?.fleet);
@@ -135,7 +138,7 @@
     }
 }
 
-function createStatus(options: OperatorFaceOptions): InstanceStatus {
+function createStatus(options: OperatorEndpointOptions): InstanceStatus {
     return {
         instance: options.instance,
         generation: options.keeper.tryGetNote()?.generation ?? 0,
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -1,11 +1,11 @@
 import * as zod from "zod";
 import * as core from "@boragedale/core";
 
-/** One setting: how it is given, what it means, and what it must look like. */
+/** Definition of a setting: its flag, meaning, default and schema. */
 export interface SettingDefinition {
     /** Name in the settings object, in camel case. */
     readonly name: keyof EntrySettings;
-    /** Flag without its dashes; the environment variable is made from it. */
+    /** Flag without its dashes. The name of the environment variable is derived from it. */
     readonly flag: string;
     readonly unit: string;
     readonly default: string | undefined;
@@ -14,7 +14,7 @@
     readonly schema: zod.ZodType;
 }
 
-/** What an entry instance is started with. Source: flags, then `BORAGEDALE_*` variables, then defaults. */
+/** Settings of an entry instance. Flags take precedence over `BORAGEDALE_*` variables, and these over defaults. */
 export interface EntrySettings {
     readonly instance: core.InstanceId;
     readonly dataCentre: core.DataCentre;
@@ -42,15 +42,15 @@
 const positive = zod.coerce.number().int().positive();
 const secret = zod.string().min(8, "needs at least 8 characters");
 
-/** Every setting of `boragedale entry`, in the order in which `--help` shows them. */
+/** All settings of `boragedale entry`, in the order of `--help`. */
 export const EntrySettingDefinitions: readonly SettingDefinition[] = [
     define("instance", "instance", "name", undefined, "name of this instance", zod.string().min(1)),
-    define("dataCentre", "data-centre", "name", undefined, "data centre it stands in", zod.string().min(1)),
+    define("dataCentre", "data-centre", "name", undefined, "data centre of this instance", zod.string().min(1)),
     define("host", "host", "address", "127.0.0.1", "address to listen on", zod.string().min(1)),
     define("advertisedHost", "advertised-host", "address", "127.0.0.1", "address that peers use", zod.string().min(1)),
-    define("callerPort", "caller-port", "port", "8080", "port of the caller face; 0 takes a free one", port),
-    define("operatorPort", "operator-port", "port", "8081", "port of the operator face", port),
-    define("peerPort", "peer-port", "port", "8082", "port of the peer face", port),
+    define("callerPort", "caller-port", "port", "8080", "port of the callers' endpoint; 0 picks a free one", port),
+    define("operatorPort", "operator-port", "port", "8081", "port of the operators' endpoint", port),
+    define("peerPort", "peer-port", "port", "8082", "port for connections of other instances", port),
     define("keyValueUrl", "key-value-url", "URL", undefined, "the platform's key-value service", httpUrl),
     define("instanceListUrl", "instance-list-url", "URL", undefined, "the platform's instance list", httpUrl),
     define("weightStoreUrl", "weight-store-url", "URL", undefined, "the weight store", httpUrl),
@@ -72,7 +72,7 @@
         "drain-grace",
         "ms",
         "5000",
-        "how long a leaving instance still takes requests while the balancer finds out",
+        "how long a leaving instance accepts requests until the balancer has noticed",
         zod.coerce.number().int().min(0),
     ),
     define(
@@ -99,8 +99,8 @@
 }
 
 /**
- * Puts flags, variables and defaults together. All findings come back at once, each with the flag or variable that it
- * is about.
+ * Combines flags, variables and defaults. Returns all findings at once, each with the flag or variable that it is
+ * about.
  */
 export function readEntrySettings(
     flags: Readonly<Record<string, unknown>>,
@@ -164,7 +164,10 @@
     return { value: definition.default, place: { kind: core.PlaceKind.Flag, flag: definition.flag } };
 }
 
-/** A misspelt variable would leave its setting at the default without a word; commands' own ones are known too. */
+/**
+ * Reports misspelt variables, whose settings would silently keep their defaults. Variables of the commands are known,
+ * too.
+ */
 function findUnknownVariables(variables: Readonly<Record<string, string | undefined>>): core.Finding[] {
     const known = new Set([
         ...EntrySettingDefinitions.map(definition => getVariableName(definition.flag)),
