--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -3,4 +3,4 @@
 export * from "./instance.js";
 export * as dispatch from "./dispatch/index.js";
 export * as membership from "./membership/index.js";
-export type { InstanceStatus } from "./operatorFace/server.js";
+export type { InstanceStatus } from "./operatorEndpoint/server.js";
--- a/packages/entry/src/instance.ts
+++ b/packages/entry/src/instance.ts
@@ -1,9 +1,9 @@
 import * as core from "@boragedale/core";
 import * as telemetry from "@boragedale/telemetry";
-import * as callerFace from "./callerFace/server.js";
+import * as callerEndpoint from "./callerEndpoint/server.js";
 import * as composition from "./composition.js";
 import * as endpointListener from "./endpointListener.js";
-import * as operatorFace from "./operatorFace/server.js";
+import * as operatorEndpoint from "./operatorEndpoint/server.js";
 import type * as settings from "./settings.js";
 
 /** A running entry instance. Disposing it stops it at once, and `drain` and `waitUntilDrained` stop it gracefully. */
@@ -98,8 +98,8 @@
 function createCallerEndpoint(
     parts: composition.Parts,
     drain: Drain,
-): ReturnType<typeof callerFace.createCallerEndpoint> {
-    return callerFace.createCallerEndpoint({
+): ReturnType<typeof callerEndpoint.createCallerEndpoint> {
+    return callerEndpoint.createCallerEndpoint({
         ...pickShared(parts),
         clock: parts.clock,
         dispatcher: parts.dispatcher,
@@ -115,8 +115,8 @@
 function createOperatorEndpoint(
     parts: composition.Parts,
     drain: Drain,
-): ReturnType<typeof operatorFace.createOperatorEndpoint> {
-    return operatorFace.createOperatorEndpoint({
+): ReturnType<typeof operatorEndpoint.createOperatorEndpoint> {
+    return operatorEndpoint.createOperatorEndpoint({
         ...pickShared(parts),
         instance: parts.description,
         operatorToken: parts.settings.operatorToken,
--- a/packages/entry/src/operatorFace/server.ts
+++ b/packages/entry/src/operatorEndpoint/server.ts
@@ -6,7 +6,7 @@
 import * as release from "@boragedale/release";
 import type * as telemetry from "@boragedale/telemetry";
 import type * as work from "@boragedale/work";
-import * as answers from "../callerFace/answers.js";
+import * as answers from "../callerEndpoint/answers.js";
 
 export interface OperatorEndpointOptions {
     readonly instance: core.InstanceDescription;
