--- a/packages/entry/src/dispatch/callRecovery.ts
+++ b/packages/entry/src/dispatch/callRecovery.ts
@@ -64,7 +64,6 @@
  * for the time in which a call can still start, `settleMilliseconds` in the release note. If the note gives no time,
  * the outcome stays unknown and nothing is sent twice.
  */
-
 async function ask(
     target: callSender.CallTarget,
     askPath: string,
--- a/packages/entry/src/membership/fleetMembership.ts
+++ b/packages/entry/src/membership/fleetMembership.ts
@@ -26,14 +26,14 @@
 const SuspectMilliseconds = 10_000;
 
 /** Time without heartbeats after which an instance that the list has dropped counts as removed. */
-const RemovalSilenceMilliseconds = 10_000;
+const RemovalMilliseconds = 10_000;
 
 interface PeerRecord {
     /** The last description in the list. Kept after the list drops the instance. */
     description: core.InstanceDescription;
     isListed: boolean;
     /** When `isListed` last changed. */
-    listedSince: core.MonotonicMilliseconds;
+    listingChangedAt: core.MonotonicMilliseconds;
     lastHeartbeatAt: core.MonotonicMilliseconds | undefined;
     unreachableAt: core.MonotonicMilliseconds | undefined;
     isLeaving: boolean;
@@ -105,8 +105,8 @@
             return true;
         }
         const now = this.options.clock.now();
-        const silentSince = Math.max(record.lastHeartbeatAt ?? 0, record.listedSince);
-        return !record.isListed && now - silentSince > RemovalSilenceMilliseconds;
+        const silentSince = Math.max(record.lastHeartbeatAt ?? 0, record.listingChangedAt);
+        return !record.isListed && now - silentSince > RemovalMilliseconds;
     }
 
     override onChange(listener: () => void): () => void {
@@ -187,7 +187,7 @@
         for (const [id, record] of this.peers) {
             if (record.isListed !== listed.has(id)) {
                 record.isListed = !record.isListed;
-                record.listedSince = now;
+                record.listingChangedAt = now;
             }
         }
         for (const description of listed.values()) {
@@ -199,7 +199,7 @@
             this.peers.set(description.id, {
                 description,
                 isListed: true,
-                listedSince: now,
+                listingChangedAt: now,
                 lastHeartbeatAt: undefined,
                 unreachableAt: undefined,
                 isLeaving: false,
@@ -215,7 +215,7 @@
     private canDelete(peer: core.InstanceId): boolean {
         const record = this.peers.get(peer);
         const now = this.options.clock.now();
-        return this.isGone(peer) && record !== undefined && now - record.listedSince > 10 * RemovalSilenceMilliseconds;
+        return this.isGone(peer) && record !== undefined && now - record.listingChangedAt > 10 * RemovalMilliseconds;
     }
 
     private recordHeartbeat(from: core.InstanceId, heartbeat: protocol.Heartbeat): void {
