--- a/packages/entry/src/composition.ts
+++ b/packages/entry/src/composition.ts
@@ -109,7 +109,7 @@
     return {
         id: given.instance,
         dataCentre: given.dataCentre,
-        state: core.LifeState.Live,
+        state: core.LifecycleState.Live,
         callerUrl: `http://${host}:${ports.caller}`,
         operatorUrl: `http://${host}:${ports.operator}`,
         peerUrl: `ws://${host}:${peerPort}`,
@@ -131,7 +131,7 @@
             kind: protocol.MessageKind.Heartbeat,
             generation: late.keeper?.tryGetNote()?.generation ?? 0,
             logicalTime: events.timeLine.getLogicalTime(),
-            state: late.membership?.getState() ?? core.LifeState.Live,
+            state: late.membership?.getState() ?? core.LifecycleState.Live,
         }),
         onUnreachable: peer => late.membership?.recordUnreachable(peer),
     });
@@ -195,7 +195,7 @@
 
 function countHeldShards(fleet: membership.FleetMembership): number {
     const shards = Array.from({ length: work.DefaultLedgerShards }, (unused, shard) => shard);
-    return shards.filter(shard => fleet.tryGetHolder(work.getLedgerDuty(shard)) === fleet.getSelf()).length;
+    return shards.filter(shard => fleet.tryGetHolder(work.getLedgerAssignment(shard)) === fleet.getSelf()).length;
 }
 
 function createInstanceList(parts: Parts): backing.InstanceList {
--- a/packages/standins/src/memoryMembership.ts
+++ b/packages/standins/src/memoryMembership.ts
@@ -40,7 +40,7 @@
         return this.tryGetHolder(assignment);
     }
 
-    override isGone(instance: core.InstanceId): boolean {
+    override isRemoved(instance: core.InstanceId): boolean {
         return this.gone.has(instance);
     }
 
@@ -52,5 +52,5 @@
 
 function createDescription(id: core.InstanceId): core.InstanceDescription {
     const url = `http://${id}.invalid`;
-    return { id, dataCentre: "test", state: core.LifeState.Live, callerUrl: url, peerUrl: url, operatorUrl: url };
+    return { id, dataCentre: "test", state: core.LifecycleState.Live, callerUrl: url, peerUrl: url, operatorUrl: url };
 }
--- a/packages/standins/src/registryMember.ts
+++ b/packages/standins/src/registryMember.ts
@@ -42,7 +42,7 @@
     override finished(): void {}
     override refused(): void {}
     override attemptEnded(): void {}
-    override note(): void {}
+    override recordEvent(): void {}
 }
 
 export function startRegistryMember(
@@ -55,7 +55,7 @@
     const client = metadata.createClient();
     const directory = new gateway.MemberDirectory({ id, dataCentre, peerAddress: "127.0.0.1:1" });
     const view = new gateway.FleetView(codec, () => undefined);
-    const storeReturn = new gateway.StoreReturn(view, clock, log);
+    const storeReturn = new gateway.StoreRecovery(view, clock, log);
     const store = new gateway.CountedStore(
         client,
         () => clock.now(),
@@ -80,7 +80,7 @@
         onFleetEntries: () => undefined,
         random,
     });
-    registry.watchers.forEach(watcher => storeReturn.follow(watcher));
+    registry.watchers.forEach(watcher => storeReturn.addWatcher(watcher));
     registration.start(registry.whenListed);
     void registry.run();
     const stopController = new AbortController();
@@ -118,7 +118,7 @@
         kind: protocol.MessageKind.Heartbeat,
         ...gateway.describeRegistry(view, registry.isWatching(), now),
         logicalTime: 0,
-        state: core.LifeState.Live,
+        state: core.LifecycleState.Live,
     };
 }
 
@@ -127,7 +127,7 @@
     const { clock, random, neighbours } = simulation;
     await clock.sleep(random() * HeartbeatMilliseconds, signal);
     while (!signal.aborted) {
-        const watchers = member.registry.duty.getWatchers();
+        const watchers = member.registry.assignment.getWatchers();
         const chosen = new Set(gateway.chooseNeighbours(member.directory, watchers));
         neighbours.set(member.id, chosen);
         chosen.forEach(peer => member.beat(peer));
--- a/packages/tools/src/linkedFleet.ts
+++ b/packages/tools/src/linkedFleet.ts
@@ -134,13 +134,13 @@
                 kind: protocol.MessageKind.Heartbeat,
                 generation: late.keeper?.tryGetNote()?.generation ?? 0,
                 logicalTime: instanceTelemetry.timeLine.getLogicalTime(),
-                state: core.LifeState.Live,
+                state: core.LifecycleState.Live,
             }),
         });
         const self: core.InstanceDescription = {
             id,
             dataCentre: "loopback",
-            state: core.LifeState.Live,
+            state: core.LifecycleState.Live,
             callerUrl: "",
             peerUrl: `ws://127.0.0.1:${network.getPort()}`,
             operatorUrl: "",
--- a/packages/tools/src/measuredFleet.ts
+++ b/packages/tools/src/measuredFleet.ts
@@ -160,7 +160,7 @@
     override getLiveInstances(): readonly core.InstanceDescription[] {
         const url = "http://127.0.0.1:0";
         const urls = { callerUrl: url, peerUrl: url, operatorUrl: url };
-        return this.getLiveNames().map(id => ({ id, dataCentre: "a", state: core.LifeState.Live, ...urls }));
+        return this.getLiveNames().map(id => ({ id, dataCentre: "a", state: core.LifecycleState.Live, ...urls }));
     }
 
     override tryGetHolder(duty: string): core.InstanceId | undefined {
@@ -180,7 +180,7 @@
         return this.tryGetHolder(`${dataCentre}/${duty}`);
     }
 
-    override isGone(instance: core.InstanceId): boolean {
+    override isRemoved(instance: core.InstanceId): boolean {
         return this.fleet.gone.has(instance);
     }
 
