--- a/packages/entry/src/composition.ts
+++ b/packages/entry/src/composition.ts
@@ -23,7 +23,7 @@
     readonly instanceList: backing.InstanceList;
     readonly membership: membership.FleetMembership;
     readonly network: protocol.WebSocketPeerNetwork;
-    readonly keeper: release.NoteKeeper;
+    readonly keeper: release.NoteCache;
     readonly publisher: release.NotePublisher;
     readonly ledger: work.CallLedger;
     readonly jobs: work.JobStore;
@@ -61,7 +61,7 @@
 /** Parts that the peer network uses although they start after it, since they need its port. */
 interface LateParts {
     membership?: membership.FleetMembership;
-    keeper?: release.NoteKeeper;
+    keeper?: release.NoteCache;
 }
 
 /** Starts the parts in the order of their dependencies. `owned` disposes them in reverse order. */
@@ -149,8 +149,8 @@
     return owned.use(await backing.Spool.open({ folder, maximumBytes: SpoolLimitBytes }));
 }
 
-async function startKeeper(parts: Parts): Promise<release.KeyValueNoteKeeper> {
-    return release.KeyValueNoteKeeper.start({
+async function startKeeper(parts: Parts): Promise<release.KeyValueNoteCache> {
+    return release.KeyValueNoteCache.start({
         keyValue: parts.keyValue,
         network: parts.network,
         heartbeats: parts.membership,
@@ -285,5 +285,12 @@
         return client;
     };
     const { membership: fleet, keeper, keyValue } = parts;
-    return new release.UpstreamRollout({ membership: fleet, keeper, getEngine, keyValue, clock, telemetry: events });
+    return new release.UpstreamRollout({
+        membership: fleet,
+        noteCache: keeper,
+        getEngine,
+        keyValue,
+        clock,
+        telemetry: events,
+    });
 }
--- a/packages/standins/src/memoryMembership.ts
+++ b/packages/standins/src/memoryMembership.ts
@@ -6,7 +6,7 @@
  * holder.
  */
 export class MemoryMembership extends protocol.Membership {
-    readonly gone = new Set<core.InstanceId>();
+    readonly removed = new Set<core.InstanceId>();
     private readonly listeners = new Set<() => void>();
     private live: readonly core.InstanceDescription[];
 
@@ -41,7 +41,7 @@
     }
 
     override isRemoved(instance: core.InstanceId): boolean {
-        return this.gone.has(instance);
+        return this.removed.has(instance);
     }
 
     override onChange(listener: () => void): () => void {
--- a/packages/tools/src/linkedFleet.ts
+++ b/packages/tools/src/linkedFleet.ts
@@ -17,7 +17,7 @@
 interface Instance {
     readonly network: protocol.WebSocketPeerNetwork;
     readonly membership: entry.membership.FleetMembership;
-    readonly keeper: release.KeyValueNoteKeeper;
+    readonly keeper: release.KeyValueNoteCache;
 }
 
 /** What an instance of an idle fleet costs, on average over the fleet. */
@@ -31,7 +31,7 @@
 /** The network asks for these before they exist: it must listen first, so that its port is known. */
 interface LateParts {
     membership?: entry.membership.FleetMembership;
-    keeper?: release.KeyValueNoteKeeper;
+    keeper?: release.KeyValueNoteCache;
 }
 
 /** A list that every instance of the run reads; it does not lag here. */
@@ -97,7 +97,7 @@
         await inForce;
         const milliseconds = performance.now() - startedAt;
         this.keyValue.faults.isDown = false;
-        this.keyValue.healWatches();
+        this.keyValue.resumeWatches();
         if (told !== undefined) {
             this.list.instances.pop();
             await stopInstance(told);
@@ -153,7 +153,7 @@
         });
         late.membership = membership;
         membership.attach(network);
-        const keeper = await release.KeyValueNoteKeeper.start({
+        const keeper = await release.KeyValueNoteCache.start({
             keyValue: this.keyValue,
             network,
             heartbeats: membership,
@@ -172,7 +172,7 @@
     await instance.network[Symbol.asyncDispose]();
 }
 
-async function waitForGeneration(keeper: release.NoteKeeper, generation: core.Generation): Promise<void> {
+async function waitForGeneration(keeper: release.NoteCache, generation: core.Generation): Promise<void> {
     if ((keeper.tryGetNote()?.generation ?? 0) >= generation) {
         return;
     }
--- a/packages/tools/src/slopes/rolloutSlopes.ts
+++ b/packages/tools/src/slopes/rolloutSlopes.ts
@@ -112,7 +112,7 @@
         this.engines = new Map(note.fleet.upstreams.map(({ id }) => [id, new CountedEngine(parts.clock, held)]));
         this.rollout = new release.UpstreamRollout({
             membership: parts.membership,
-            keeper: new FixedNoteKeeper(note),
+            noteCache: new FixedNoteKeeper(note),
             getEngine: upstream => core.Debug.checkDefined(this.engines.get(upstream.id), "an engine"),
             keyValue: parts.keyValue,
             clock: parts.clock,
@@ -152,7 +152,7 @@
 }
 
 /** Holds one note; no rollout of others is told of. */
-class FixedNoteKeeper extends release.NoteKeeper {
+class FixedNoteKeeper extends release.NoteCache {
     constructor(private readonly note: core.NoteInForce) {
         super();
     }
