--- a/packages/bench/src/slots/slotsFleet.ts
+++ b/packages/bench/src/slots/slotsFleet.ts
@@ -72,7 +72,7 @@
             view,
             clock,
         );
-        const onHomeSilent = (): void => undefined;
+        const onCoordinatorUnresponsive = (): void => undefined;
         const slots = new gateway.SlotSharing({
             slotTable: slotTable,
             network,
@@ -80,7 +80,7 @@
             coordinators: coordinators,
             dataCentre,
             random: draw,
-            onCoordinatorUnresponsive: onHomeSilent,
+            onCoordinatorUnresponsive,
         });
         void slots.run();
         return { id, slots, network, candidates: chooseCandidates(id, view, options.sharing) };
