--- a/packages/entry/src/dispatch/engineChooser.ts
+++ b/packages/entry/src/dispatch/engineChooser.ts
@@ -54,7 +54,11 @@
     /** Whether the engine that is preferred for the request's prefix has a free slot. */
     isLocal(requirements: EngineRequirements): boolean {
         const engines = this.options.table.listOnline(requirements.base);
-        return this.options.placement.hasPrefixReplicaAvailable(createPlacementRequest(requirements), engines, this.options.clock.now());
+        return this.options.placement.hasPrefixReplicaAvailable(
+            createPlacementRequest(requirements),
+            engines,
+            this.options.clock.now(),
+        );
     }
 
     private listCandidates(requirements: EngineRequirements): readonly core.UpstreamDescription[] {
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -177,5 +177,7 @@
     ]);
     return Object.keys(variables)
         .filter(variable => variable.startsWith("BORAGEDALE_") && !known.has(variable))
-        .map(variable => core.createFinding(core.messages.SettingUnknown, { kind: core.FindingPlaceKind.Variable, variable }));
+        .map(variable =>
+            core.createFinding(core.messages.SettingUnknown, { kind: core.FindingPlaceKind.Variable, variable }),
+        );
 }
