--- a/packages/tools/src/overhead/leanEngine.ts
+++ b/packages/tools/src/overhead/leanEngine.ts
@@ -2,9 +2,9 @@
 import type * as net from "node:net";
 
 /**
- * A model engine that does nothing but send tokens, so that what is measured in front of it is not its own cost. The
- * text of each token is the time at which it was sent. `gap` in the body is the pause between two tokens in
- * milliseconds; 0 sends one in each turn of the event loop, -1 all at once.
+ * A model engine that does nothing but send tokens, so that its own cost hardly contributes to the measurements of an
+ * instance in front of it. The text of each token is the time at which it was sent. `gap` in the request body is the
+ * pause between two tokens in milliseconds: 0 sends one token in each turn of the event loop, -1 sends all at once.
  */
 
 interface CompletionBody {
@@ -13,8 +13,8 @@
     readonly gap: number;
 }
 
-/** What the fleet ordered; told back as the state, so that a rollout reaches it at once. */
-let held: { readonly models: unknown; readonly role: unknown; readonly fencing: unknown } = {
+/** The state that the fleet last ordered. It is reported as the current state, so that a rollout completes at once. */
+let orderedState: { readonly models: unknown; readonly role: unknown; readonly fencing: unknown } = {
     models: [],
     role: "Mixed",
     fencing: 0,
@@ -37,7 +37,7 @@
             streamTokens(String(request.headers["x-request-id"]), JSON.parse(body) as CompletionBody, response);
             break;
         case "/order":
-            held = JSON.parse(body) as typeof held;
+            orderedState = JSON.parse(body) as typeof orderedState;
             response.writeHead(202);
             response.end("{}");
             break;
@@ -45,7 +45,7 @@
             response.end(JSON.stringify({ running: 0, waiting: 0, cacheUsage: 0, ageMilliseconds: 0 }));
             break;
         default:
-            response.end(JSON.stringify({ ...held, isLoading: false, isLeaving: false }));
+            response.end(JSON.stringify({ ...orderedState, isLoading: false, isLeaving: false }));
     }
 }
 
--- a/packages/tools/src/overhead/load.ts
+++ b/packages/tools/src/overhead/load.ts
@@ -1,28 +1,32 @@
 import * as undici from "undici";
 
 /**
- * Sends completions from a number of tasks for a time, each task one after the other, and prints what it saw as one JSON
- * line. Run as a process of its own: its cost must not slow what it measures.
+ * Sends completion requests for a given time and prints the results as one line of JSON. A number of tasks run
+ * concurrently; each sends its requests one after the other. This program runs as a separate process so that its cost
+ * does not slow down what it measures.
  *
- * Arguments: URL, token, model, tasks, tokens of an answer, gap between tokens in milliseconds, seconds.
+ * Arguments: URL, token, model, number of tasks, tokens per answer, gap between tokens in milliseconds, seconds.
  */
 
-/** What one load process saw. Times in milliseconds. */
+/** The results of one load process. Times are in milliseconds. */
 export interface LoadResult {
     readonly requestsPerSecond: number;
     readonly tokensPerSecond: number;
     readonly errors: number;
     readonly firstTokenP50: number;
     readonly firstTokenP99: number;
-    /** From the engine's sending of a token to its arrival here. */
+    /** The time from the sending of a token by the engine to its arrival in this process. */
     readonly tokenP50: number;
     readonly tokenP99: number;
 }
 
-/** Part of the time after which counting begins: compilers and connections are warm by then. */
-const WarmUpShare = 0.3;
-const ContentMark = Buffer.from('"content":"');
-/** A token is the time at which it was sent, 17 characters and a space; an instance may send several as one text. */
+/** The first part of the run, in which requests and tokens are not counted: code is being compiled, connections opened. */
+const WarmUpFraction = 0.3;
+const ContentPrefix = Buffer.from('"content":"');
+/**
+ * The length of a token: the time at which it was sent, in 17 characters, and a space. An instance may combine several
+ * tokens into one text, so the number of tokens is computed from the length of the text.
+ */
 const TokenLength = 18;
 const Quote = 0x22;
 
@@ -30,7 +34,7 @@
 const [tasks = 1, tokens = 1, gap = -1, seconds = 1] = numbers.map(Number);
 
 const startedAt = getTime();
-const countsFrom = startedAt + seconds * 1_000 * WarmUpShare;
+const countingStartsAt = startedAt + seconds * 1_000 * WarmUpFraction;
 const endsAt = startedAt + seconds * 1_000;
 const firstTokens: number[] = [];
 const tokenTimes: number[] = [];
@@ -40,10 +44,10 @@
 
 const pool = new undici.Pool(url, { connections: tasks, pipelining: 1 });
 await Promise.all(Array.from({ length: tasks }, (...[, index]: [unknown, number]) => runTask(index)));
-const counted = (getTime() - countsFrom) / 1_000;
+const countedSeconds = (getTime() - countingStartsAt) / 1_000;
 const result: LoadResult = {
-    requestsPerSecond: Math.round(requestCount / counted),
-    tokensPerSecond: Math.round(tokenCount / counted),
+    requestsPerSecond: Math.round(requestCount / countedSeconds),
+    tokensPerSecond: Math.round(tokenCount / countedSeconds),
     errors: errorCount,
     firstTokenP50: getQuantile(firstTokens, 0.5),
     firstTokenP99: getQuantile(firstTokens, 0.99),
@@ -82,12 +86,12 @@
                 onResponseStart: (...[, status]) => {
                     errorCount += status === 200 ? 0 : 1;
                 },
-                onResponseData: (...[, piece]) => {
-                    const seen = countTokens(piece);
-                    firstAt ||= seen > 0 ? getTime() : 0;
+                onResponseData: (...[, chunk]) => {
+                    const tokensInChunk = countTokens(chunk);
+                    firstAt ||= tokensInChunk > 0 ? getTime() : 0;
                 },
                 onResponseEnd: () => {
-                    if (sentAt >= countsFrom) {
+                    if (sentAt >= countingStartsAt) {
                         requestCount++;
                         firstTokens.push(firstAt - sentAt);
                     }
@@ -102,19 +106,19 @@
     });
 }
 
-/** Counts the tokens of a piece and takes the time of its first one. */
-function countTokens(piece: Buffer): number {
+/** Counts the tokens in a chunk of the response and records the transit time of the first one. */
+function countTokens(chunk: Buffer): number {
     const now = getTime();
     let count = 0;
-    for (let at = piece.indexOf(ContentMark); at >= 0; at = piece.indexOf(ContentMark, at + 1)) {
-        const start = at + ContentMark.length;
-        const held = Math.round((piece.indexOf(Quote, start) - start) / TokenLength);
-        if (held > 0 && count === 0 && now >= countsFrom) {
-            tokenTimes.push(now - Number.parseFloat(piece.toString("latin1", start, start + TokenLength)));
+    for (let at = chunk.indexOf(ContentPrefix); at >= 0; at = chunk.indexOf(ContentPrefix, at + 1)) {
+        const start = at + ContentPrefix.length;
+        const tokensInText = Math.round((chunk.indexOf(Quote, start) - start) / TokenLength);
+        if (tokensInText > 0 && count === 0 && now >= countingStartsAt) {
+            tokenTimes.push(now - Number.parseFloat(chunk.toString("latin1", start, start + TokenLength)));
         }
-        count += Math.max(0, held);
+        count += Math.max(0, tokensInText);
     }
-    tokenCount += now >= countsFrom ? count : 0;
+    tokenCount += now >= countingStartsAt ? count : 0;
     return count;
 }
 
--- a/packages/tools/src/slopes/faceSlopes.ts
+++ b/packages/tools/src/slopes/faceSlopes.ts
@@ -14,16 +14,21 @@
 
 export async function measureFace(): Promise<table.SlopeTable> {
     await using instance = await measuredInstance.MeasuredInstance.start();
-    await instance.measureInstance({ tasks: 32, tokens: 8, gap: -1, seconds: Seconds });
+    await instance.measureInstance({ tasks: 32, tokens: 8, gapMilliseconds: -1, seconds: Seconds });
     const requests: table.Point[] = [];
     for (const tokens of TokenCounts) {
-        const run = await instance.measureInstance({ tasks: 32, tokens, gap: 0, seconds: Seconds });
+        const run = await instance.measureInstance({ tasks: 32, tokens, gapMilliseconds: 0, seconds: Seconds });
         checkErrors(run);
         requests.push({ x: tokens, y: (run.cores * 1e6) / run.requestsPerSecond });
     }
     const streams: table.Point[] = [];
     for (const tasks of StreamCounts) {
-        const run = await instance.measureInstance({ tasks, tokens: 60, gap: TokenMilliseconds, seconds: Seconds });
+        const run = await instance.measureInstance({
+            tasks,
+            tokens: 60,
+            gapMilliseconds: TokenMilliseconds,
+            seconds: Seconds,
+        });
         checkErrors(run);
         streams.push({ x: run.tokensPerSecond, y: run.cores * 100 });
     }
