--- a/packages/tools/src/demo.ts
+++ b/packages/tools/src/demo.ts
@@ -5,8 +5,8 @@
 import * as scenario from "./demo/scenario.js";
 
 /**
- * Starts a small fleet as separate processes on loopback, shows the promises on it and ends with 0 only when every
- * one held. `--stay` leaves the fleet serving.
+ * Starts a small fleet as separate processes on loopback and checks the guarantees of the system on it. Exits with 0
+ * only if every guarantee held. With `--stay` the fleet keeps serving until it is interrupted.
  */
 
 const DefaultPort = 18_000;
@@ -30,7 +30,7 @@
     await using fleet = await demoFleet.startFleet(firstPort);
     const report = new reports.Report();
     await scenario.runScenario(fleet, report);
-    const isHeld = report.isEveryPromiseHeld();
+    const isHeld = report.isEveryGuaranteeHeld();
     console.log(isHeld ? "every promise shown held" : "a promise was BROKEN");
     if (isStaying) {
         await stay(fleet, firstPort);
@@ -38,7 +38,7 @@
     return isHeld ? 0 : 1;
 }
 
-/** Replaces the two instances that the scenario took away, as the platform would, and waits to be interrupted. */
+/** Replaces the two instances that the scenario stopped, as the platform does, and waits until it is interrupted. */
 async function stay(fleet: demoFleet.Fleet, firstPort: number | undefined): Promise<void> {
     for (const index of [0, 2]) {
         await demoFleet.startInstance(fleet, index, firstPort, `entry-${index + 1}-replaced`);
--- a/packages/tools/src/demo/callers.ts
+++ b/packages/tools/src/demo/callers.ts
@@ -1,7 +1,7 @@
 import * as undici from "undici";
 import * as fleet from "./fleet.js";
 
-/** What a caller of the demo does, over plain HTTP. */
+/** The part of a batch's JSON representation that the demo reads. */
 export interface Batch {
     readonly id: string;
     readonly status: string;
@@ -11,8 +11,8 @@
 export interface StreamedAnswer {
     readonly status: number;
     readonly text: string;
-    /** Whether the closing `[DONE]` came. */
-    readonly isWhole: boolean;
+    /** Whether the final `[DONE]` event was received. */
+    readonly isComplete: boolean;
     readonly chunks: number;
 }
 
@@ -20,7 +20,7 @@
     readonly choices?: readonly { readonly delta?: { readonly content?: string } }[];
 }
 
-/** Streams one chat completion; `onChunk` is called for each piece. */
+/** Streams one chat completion. `onChunk` is called after each chunk with the number of chunks received so far. */
 export async function streamCompletion(
     baseUrl: string,
     prompt: string,
@@ -38,21 +38,21 @@
     let buffered = "";
     let text = "";
     let chunks = 0;
-    let isWhole = false;
+    let isComplete = false;
     for await (const piece of response.body ?? []) {
         buffered += decoder.decode(piece as Uint8Array, { stream: true });
         const lines = buffered.split("\n\n");
         buffered = lines.pop() ?? "";
         for (const line of lines) {
             const data = line.replace(/^data: /, "");
-            isWhole ||= data === "[DONE]";
+            isComplete ||= data === "[DONE]";
             if (data !== "[DONE]") {
                 text += (JSON.parse(data) as StreamChunk).choices?.[0]?.delta?.content ?? "";
                 onChunk(++chunks);
             }
         }
     }
-    return { status: response.status, text, isWhole, chunks };
+    return { status: response.status, text, isComplete: isComplete, chunks };
 }
 
 export interface BookingAnswer {
@@ -97,14 +97,14 @@
     return (await expectSuccess(await send(baseUrl, "POST", `/v1/batches/${id}/cancel`, {}))) as Batch;
 }
 
-/** The lines of a result file. */
+/** Reads a result file and parses each of its lines. */
 export async function readResults(baseUrl: string, file: string): Promise<readonly { custom_id: string }[]> {
     const response = await send(baseUrl, "GET", `/v1/files/${file}/content`, undefined);
     const lines = (await response.text()).split("\n").filter(line => line !== "");
     return lines.map(line => JSON.parse(line) as { custom_id: string });
 }
 
-export async function readRuns(serviceUrl: string): Promise<Readonly<Record<string, number>>> {
+export async function readRunCounts(serviceUrl: string): Promise<Readonly<Record<string, number>>> {
     return (await (await undici.fetch(`${serviceUrl}/runs`)).json()) as Record<string, number>;
 }
 
--- a/packages/tools/src/demo/fleet.ts
+++ b/packages/tools/src/demo/fleet.ts
@@ -3,16 +3,16 @@
 import type * as core from "@boragedale/core";
 import * as processes from "./processes.js";
 
-/** Secrets of the demo's fleet; they guard nothing but loopback. */
+/** Secrets of the demo fleet. They can be fixed because the fleet listens on loopback only. */
 export const OperatorToken = "demo-operator-token";
 export const CallerToken = "demo-caller-token";
 const PeerKey = "demo-peer-key";
 
 const EngineCount = 4;
-/** Two data centres, so that the way of a request crosses between them. */
-const InstancePlaces = ["colombo-1", "colombo-1", "colombo-2"];
+/** The data centre of each instance. There are two, so that some requests are forwarded between data centres. */
+const InstanceDataCentres = ["colombo-1", "colombo-1", "colombo-2"];
 
-/** All processes of the demo. */
+/** The processes of the demo and their addresses. */
 export interface Fleet extends AsyncDisposable {
     readonly keyValueUrl: string;
     readonly instanceListUrl: string;
@@ -27,7 +27,7 @@
     readonly description: core.InstanceDescription;
 }
 
-/** Starts the stand-ins, then three entry instances; port `undefined` takes free ones. */
+/** Starts the stand-ins, then three entry instances. If `firstPort` is undefined, they listen on free ports. */
 export async function startFleet(firstPort: number | undefined): Promise<Fleet> {
     const started: processes.StartedProcess[] = [];
     const instances: RunningInstance[] = [];
@@ -39,7 +39,7 @@
     const keyValueUrl = await start("key-value");
     const instanceListUrl = await start("instance-list");
     const weightStoreUrl = await start("weight-store");
-    // Slow enough that the batch is still running when an instance is killed.
+    // The engines are slowed down so that the batch is still running when an instance is killed.
     const engineFlags = ["--weight-store", weightStoreUrl, "--base-step", "15"];
     const engineUrls = await Promise.all(Array.from({ length: EngineCount }, () => start("engine", engineFlags)));
     const bookingUrl = await start("service");
@@ -55,13 +55,13 @@
             await Promise.all(all.map(each => processes.stopProcess(each, "SIGKILL")));
         },
     };
-    for (let index = 0; index < InstancePlaces.length; index++) {
+    for (let index = 0; index < InstanceDataCentres.length; index++) {
         await startInstance(fleet, index, firstPort);
     }
     return fleet;
 }
 
-/** Starts instance `index` and tells the platform's instance list, as the platform would. */
+/** Starts instance `index` and adds it to the instance list, as the platform does in production. */
 export async function startInstance(
     fleet: Fleet,
     index: number,
@@ -71,7 +71,7 @@
     const flags = [
         "entry",
         ...["--instance", name],
-        ...["--data-centre", InstancePlaces[index] ?? "colombo-1"],
+        ...["--data-centre", InstanceDataCentres[index] ?? "colombo-1"],
         ...["--caller-port", String(firstPort === undefined ? 0 : firstPort + index)],
         ...["--operator-port", String(firstPort === undefined ? 0 : firstPort + 100 + index)],
         ...["--peer-port", "0"],
--- a/packages/tools/src/demo/notes.ts
+++ b/packages/tools/src/demo/notes.ts
@@ -1,6 +1,6 @@
 import * as fleet from "./fleet.js";
 
-/** The release notes that the demo publishes, for the addresses that its processes got. */
+/** Creates the release notes that the demo publishes. They contain the addresses of the running processes. */
 
 export function createFirstNote(running: Pick<fleet.Fleet, "engineUrls" | "bookingUrl">): string {
     const engines = running.engineUrls.map((url, index) => createEngine(url, index)).join("\n");
@@ -40,7 +40,7 @@
 `;
 }
 
-/** The upgrade: one model gets a new version, on all engines. */
+/** Creates the note that upgrades the model to a new version on all engines. */
 export function createSecondNote(): string {
     return `changed:
     models:
--- a/packages/tools/src/demo/processes.ts
+++ b/packages/tools/src/demo/processes.ts
@@ -2,19 +2,19 @@
 import * as path from "node:path";
 import * as readline from "node:readline";
 
-/** A process that this script started; it tells its addresses in its first line of output, as JSON. */
+/** A child process that prints its addresses as JSON in its first line of output. */
 export interface StartedProcess {
     readonly name: string;
     readonly child: childProcess.ChildProcess;
     readonly announcement: Readonly<Record<string, unknown>>;
-    /** Resolves with the exit code, or the signal's name. */
+    /** Resolves with the exit code, or with the name of the signal that ended the process. */
     readonly ended: Promise<number | string>;
 }
 
 export const RootFolder = path.resolve(import.meta.dirname, "../../../../..");
 const StartTimeoutMilliseconds = 20_000;
 
-/** Starts a compiled program of this repository and waits for its first line. */
+/** Starts a compiled program of this repository and waits for its first line of output. */
 export async function startProcess(
     name: string,
     program: string,
@@ -40,7 +40,7 @@
     readonly errors: string;
 }
 
-/** Runs the boragedale program to its end. */
+/** Runs a boragedale command and waits until it exits. */
 export async function runCommand(
     flags: readonly string[],
     variables: Readonly<Record<string, string>>,
--- a/packages/tools/src/demo/report.ts
+++ b/packages/tools/src/demo/report.ts
@@ -1,34 +1,34 @@
-/** One promise that the demo shows, and whether it held. */
-export interface Step {
-    readonly promise: string;
-    readonly seen: string;
+/** The result of checking one guarantee. `observed` describes what the check saw. */
+export interface GuaranteeCheck {
+    readonly guarantee: string;
+    readonly observed: string;
     readonly held: boolean;
     readonly milliseconds: number;
 }
 
 const BarWidth = 30;
 
-/** Gathers what happened and prints it as a short table. */
+/** Collects the results of the checks and prints each as one line of a table. */
 export class Report {
-    private readonly steps: Step[] = [];
+    private readonly steps: GuaranteeCheck[] = [];
     private lastTime = performance.now();
 
-    add(promise: string, held: boolean, seen: string): void {
+    add(guarantee: string, held: boolean, observed: string): void {
         const now = performance.now();
-        this.steps.push({ promise, seen, held, milliseconds: Math.round(now - this.lastTime) });
+        this.steps.push({ guarantee, observed, held, milliseconds: Math.round(now - this.lastTime) });
         clearProgress();
         const mark = held ? "held  " : "BROKEN";
         const seconds = `${((now - this.lastTime) / 1_000).toFixed(1)} s`.padStart(7);
-        console.log(`${mark}  ${seconds}  ${promise.padEnd(62)}  ${seen}`);
+        console.log(`${mark}  ${seconds}  ${guarantee.padEnd(62)}  ${observed}`);
         this.lastTime = now;
     }
 
-    isEveryPromiseHeld(): boolean {
+    isEveryGuaranteeHeld(): boolean {
         return this.steps.length > 0 && this.steps.every(step => step.held);
     }
 }
 
-/** A progress bar on a terminal; nothing elsewhere. */
+/** Draws a progress bar if the output is a terminal, and does nothing otherwise. */
 export function showProgress(label: string, done: number, total: number): void {
     if (!process.stdout.isTTY) {
         return;
--- a/packages/tools/src/measureRollout.ts
+++ b/packages/tools/src/measureRollout.ts
@@ -51,7 +51,7 @@
     console.log("| phase | seconds | online requests | not whole | first token p50 / p99 ms | batch items/s |");
     console.log("| --- | --- | --- | --- | --- | --- |");
     rows.forEach(row => console.log(row));
-    return report.isEveryPromiseHeld() ? 0 : 1;
+    return report.isEveryGuaranteeHeld() ? 0 : 1;
 }
 
 /** Streams one request after the other at a fixed rate, to the instances in turn. */
@@ -116,7 +116,7 @@
             .catch(() => undefined);
         if (phase !== undefined) {
             phase.requests++;
-            phase.notWhole += answer?.isWhole === true ? 0 : 1;
+            phase.notWhole += answer?.isComplete === true ? 0 : 1;
         }
     }
 }
