--- a/packages/tools/src/generate.ts
+++ b/packages/tools/src/generate.ts
@@ -3,7 +3,7 @@
 import * as release from "@boragedale/release";
 import * as telemetry from "@boragedale/telemetry";
 
-/** Writes the generated pages, or with `--check` fails when a committed one differs from what would be written. */
+/** Writes the generated files. With `--check`, writes nothing and fails if a committed file is out of date. */
 
 const RootFolder = path.resolve(import.meta.dirname, "../../../..");
 
@@ -18,8 +18,8 @@
     const isCheck = process.argv.includes("--check");
     for (const file of getGeneratedFiles()) {
         const target = path.join(RootFolder, file.path);
-        const present = fileSystem.existsSync(target) ? fileSystem.readFileSync(target, "utf8") : undefined;
-        if (present === file.content) {
+        const currentContent = fileSystem.existsSync(target) ? fileSystem.readFileSync(target, "utf8") : undefined;
+        if (currentContent === file.content) {
             continue;
         }
         if (isCheck) {
@@ -55,7 +55,7 @@
     ].join("\n");
 }
 
-/** The schema that editors check a release note against; `boragedale check` goes by the zod one it is made from. */
+/** Creates the JSON schema for editors. `boragedale check` uses the zod schema from which it is generated. */
 function createSchemaFile(): string {
     return `${JSON.stringify(release.createNoteJsonSchema(), undefined, 4)}\n`;
 }
--- a/packages/tools/src/measureStart.ts
+++ b/packages/tools/src/measureStart.ts
@@ -6,16 +6,17 @@
 import * as processes from "./demo/processes.js";
 
 /**
- * Measures what the start of each role of the bundle costs: `npm run bundle && npm run measure:start`. Processor time from
- * the first instruction to the line that says that the process has started; a restarted instance is late by that much. The
- * bare runtime is measured in turn with the roles, since the speed of a shared machine changes from minute to minute.
+ * Measures the cost of starting each role of the bundle: `npm run bundle && npm run measure:start`. The cost is the
+ * processor time from the first instruction to the output line that announces that the process has started; a restart
+ * takes at least that long. Runs of the bare runtime alternate with runs of the roles, because the speed of a shared
+ * machine changes from minute to minute.
  */
 
 const Program = "target/boragedale.mjs";
 const Runs = 9;
 /** The kernel counts processor time in hundredths of a second. */
 const MillisecondsPerTick = 10;
-/** Places of user and system time behind the program's name in the kernel's status line of a process. */
+/** Indexes of the user and system time among the fields that follow the process name in `/proc/PID/stat`. */
 const UserTimeField = 11;
 const SystemTimeField = 12;
 
@@ -24,12 +25,12 @@
 stack.defer(() => fileSystem.rmSync(folder, { recursive: true }));
 const store = stack.use(await standins.startStoreServer());
 standins.writeConfiguration(store.metadata, { version: 1 });
-const bare = path.join(folder, "bare.mjs");
-fileSystem.writeFileSync(bare, 'console.log("{}"); setInterval(() => undefined, 1_000);');
+const bareProgram = path.join(folder, "bare.mjs");
+fileSystem.writeFileSync(bareProgram, 'console.log("{}"); setInterval(() => undefined, 1_000);');
 const settings = path.join(folder, "settings.json");
 fileSystem.writeFileSync(settings, JSON.stringify(createSettings()));
 const programs = [
-    { name: "bare runtime", file: path.relative(processes.RootFolder, bare), flags: [] },
+    { name: "bare runtime", file: path.relative(processes.RootFolder, bareProgram), flags: [] },
     { name: "gateway", file: Program, flags: ["gateway"] },
     { name: "storage", file: Program, flags: ["storage"] },
 ].map(program => ({ ...program, times: [] as number[] }));
--- a/packages/tools/src/runTests.ts
+++ b/packages/tools/src/runTests.ts
@@ -4,9 +4,9 @@
 import * as path from "node:path";
 
 /**
- * Runs every test file in a process of its own and ends with `N passed, N failed`. A test that KNOWN-RED.txt lists
- * runs too: its failures are printed but don't fail the run, and a listed test that passes does, so that the list
- * can't go stale.
+ * Runs every test file in a separate process and prints `N passed, N failed` at the end. Arguments select the files
+ * whose path contains one of them. Test files listed in KNOWN-RED.txt run too: their failures are printed but don't fail
+ * the run. A listed file that passes fails the run, so that the list stays up to date.
  */
 
 interface FileResult {
@@ -17,16 +17,18 @@
 }
 
 const RootFolder = path.resolve(import.meta.dirname, "../../../..");
-/** A file that doesn't end has left something running; it counts as failed. */
+/** A test file that doesn't exit in this time, for example because it left a server running, counts as failed. */
 const FileTimeoutMilliseconds = 120_000;
 
 void main();
 
 async function main(): Promise<void> {
-    const wanted = process.argv.slice(2);
-    const files = getTestFiles().filter(file => wanted.length === 0 || wanted.some(part => file.includes(part)));
+    const pathFilters = process.argv.slice(2);
+    const files = getTestFiles().filter(
+        file => pathFilters.length === 0 || pathFilters.some(part => file.includes(part)),
+    );
     const knownRed = getKnownRedFiles();
-    const results = await runAll(files);
+    const results = await runFiles(files);
     let passed = 0;
     let failed = 0;
     for (const result of results) {
@@ -60,7 +62,7 @@
         .sort();
 }
 
-/** Each line of the list begins with the path of a test file. */
+/** Reads the test files listed in KNOWN-RED.txt. Each entry starts with the path of a test file. */
 function getKnownRedFiles(): ReadonlySet<string> {
     const file = path.join(RootFolder, "KNOWN-RED.txt");
     if (!fileSystem.existsSync(file)) {
@@ -70,11 +72,11 @@
     return new Set(lines.filter(line => /^(packages|platform)\//.test(line)).map(line => line.split(/[\s|]/)[0] ?? ""));
 }
 
-async function runAll(files: readonly string[]): Promise<readonly FileResult[]> {
-    const waiting = [...files];
+async function runFiles(files: readonly string[]): Promise<readonly FileResult[]> {
+    const queue = [...files];
     const results: FileResult[] = [];
     const workers = Array.from({ length: Math.max(1, Math.min(4, os.availableParallelism() >> 1)) }, async () => {
-        for (let file = waiting.shift(); file !== undefined; file = waiting.shift()) {
+        for (let file = queue.shift(); file !== undefined; file = queue.shift()) {
             results.push(await runFile(file));
         }
     });
@@ -100,7 +102,7 @@
     });
 }
 
-/** uvu closes with `Total:` and `Passed:` lines; a file without them, or with a bad exit code, has failed. */
+/** uvu prints `Total:` and `Passed:` at the end. A file without them, or with an exit code other than 0, has failed. */
 function createFileResult(file: string, output: string, code: number): FileResult {
     const total = sumMatches(output, /Total:\s+(\d+)/g);
     const passed = sumMatches(output, /Passed:\s+(\d+)/g);
--- a/packages/tools/src/slopes.ts
+++ b/packages/tools/src/slopes.ts
@@ -11,7 +11,8 @@
 
 /**
  * Measures the slopes of `docs/CAPACITY.md` on this machine and writes its tables: `npm run slopes`, or
- * `npm run slopes -- NAME …` for some of them. One measurement runs at a time: two would fight for the processor.
+ * `npm run slopes -- NAME …` for some of them. The measurements run one at a time, because they would otherwise compete
+ * for the processor.
  */
 
 const PagePath = "docs/CAPACITY.md";
@@ -33,8 +34,8 @@
 
 await main(process.argv.slice(2));
 
-async function main(wanted: readonly string[]): Promise<void> {
-    const names = wanted.length > 0 ? wanted : Object.keys(Measurements);
+async function main(requestedNames: readonly string[]): Promise<void> {
+    const names = requestedNames.length > 0 ? requestedNames : Object.keys(Measurements);
     writeTable("machine", describeMachine());
     for (const name of names) {
         const measure = Measurements[name];
@@ -42,9 +43,9 @@
             throw new Error(`There is no measurement ${name}; there are ${Object.keys(Measurements).join(", ")}.`);
         }
         const startedAt = performance.now();
-        const measured = await measure();
+        const measuredTable = await measure();
         console.log(`\n${name}, ${((performance.now() - startedAt) / 1_000).toFixed(1)} s`);
-        writeTable(name, table.formatTable(measured));
+        writeTable(name, table.formatTable(measuredTable));
     }
 }
 
@@ -53,7 +54,7 @@
     fileSystem.writeFileSync(PagePath, page.replaceTable(fileSystem.readFileSync(PagePath, "utf8"), name, text));
 }
 
-/** The load belongs to the figures: what others run at the same time makes them worse. */
+/** Describes the machine and its load, because other processes that run at the same time make the results worse. */
 function describeMachine(): string {
     const processor = os.cpus()[0]?.model ?? "unknown processor";
     const load = os.loadavg()[0]?.toFixed(1);
