--- a/packages/tools/src/diskKeyValueService.ts
+++ b/packages/tools/src/diskKeyValueService.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * A key-value service whose values lie in a file, so that a measurement of this process's memory doesn't measure the
- * service's. No leases, no watches, no faults.
+ * A key-value service that stores its values in a file, so that they don't count as memory of the measured process. It
+ * has no real leases and watches and injects no faults.
  */
 export class DiskKeyValueService extends backing.KeyValueService implements Disposable {
     writes = 0;
@@ -19,14 +19,14 @@
 
     constructor(private readonly path: string) {
         super();
-        const isKept = fileSystem.existsSync(this.getIndexPath());
-        this.file = fileSystem.openSync(path, isKept ? "r+" : "w+");
-        if (isKept) {
+        const hasStoredValues = fileSystem.existsSync(this.getIndexPath());
+        this.file = fileSystem.openSync(path, hasStoredValues ? "r+" : "w+");
+        if (hasStoredValues) {
             const text = fileSystem.readFileSync(this.getIndexPath(), "utf8");
-            const kept = JSON.parse(text) as { writes: number; end: number; entries: [string, StoredEntry][] };
-            this.writes = kept.writes;
-            this.end = kept.end;
-            this.entries = new Map(kept.entries);
+            const index = JSON.parse(text) as { writes: number; end: number; entries: [string, StoredEntry][] };
+            this.writes = index.writes;
+            this.end = index.end;
+            this.entries = new Map(index.entries);
         }
     }
 
@@ -78,10 +78,10 @@
         await new Promise<void>(resolve => request.signal.addEventListener("abort", () => resolve()));
     }
 
-    /** Writes where the values lie, for the next process. */
+    /** Writes the index of the stored values, from which the next process continues. */
     [Symbol.dispose](): void {
-        const kept = { writes: this.writes, end: this.end, entries: [...this.entries] };
-        fileSystem.writeFileSync(this.getIndexPath(), JSON.stringify(kept));
+        const index = { writes: this.writes, end: this.end, entries: [...this.entries] };
+        fileSystem.writeFileSync(this.getIndexPath(), JSON.stringify(index));
         fileSystem.closeSync(this.file);
     }
 
--- a/packages/tools/src/index.ts
+++ b/packages/tools/src/index.ts
@@ -1,2 +1,2 @@
-/** Development programs: test runner, demo, generators. */
+/** Programs for development: the test runner, the demos, the measurements and the generator. */
 export * from "./demo/report.js";
--- a/packages/tools/src/linkedFleet.ts
+++ b/packages/tools/src/linkedFleet.ts
@@ -6,9 +6,9 @@
 import * as standins from "@boragedale/standins";
 import * as telemetry from "@boragedale/telemetry";
 
-/** Instances that measurements link over real sockets in one process, each with membership and note keeping. */
+/** Instances for measurements, linked by real sockets in one process. Each has a fleet membership and receives notes. */
 
-export enum Way {
+export enum PublishCondition {
     Watch = "watch",
     NoWatch = "watch lost",
     Outage = "watch lost, service down after one instance read it",
@@ -20,7 +20,7 @@
     readonly keeper: release.KeyValueNoteKeeper;
 }
 
-/** What an instance of an idle fleet costs, on average over the fleet. */
+/** The cost of an instance of an idle fleet, averaged over the fleet. */
 export interface IdleCost {
     readonly links: number;
     readonly bytesPerSecond: number;
@@ -28,13 +28,13 @@
     readonly heapMegabytes: number;
 }
 
-/** The network asks for these before they exist: it must listen first, so that its port is known. */
-interface LateParts {
+/** Parts that are created after the network, which must listen first so that its port is known. Its callbacks use them. */
+interface DeferredParts {
     membership?: entry.membership.FleetMembership;
     keeper?: release.KeyValueNoteKeeper;
 }
 
-/** A list that every instance of the run reads; it does not lag here. */
+/** The instance list that all instances of a measurement read. It is always up to date. */
 class SharedInstanceList extends backing.InstanceList {
     readonly instances: core.InstanceDescription[] = [];
 
@@ -43,12 +43,12 @@
     }
 }
 
-/** Runs `size` instances with a note in force and nothing to do. Memory needs `--expose-gc`. */
+/** Measures `size` idle instances with a note in force. The memory figure needs `--expose-gc`. */
 export async function measureIdle(size: number, milliseconds: number): Promise<IdleCost> {
     globalThis.gc?.();
     const heapBefore = process.memoryUsage().heapUsed;
     await using fleet = await LinkedFleet.start(size);
-    await fleet.publish(1, Way.Watch);
+    await fleet.publish(1, PublishCondition.Watch);
     const before = { traffic: fleet.getBytesSent(), cpu: process.cpuUsage(), at: performance.now() };
     await new Promise<void>(resolve => setTimeout(resolve, milliseconds));
     const seconds = (performance.now() - before.at) / 1_000;
@@ -57,10 +57,10 @@
     const corePercent = ((cpu.user + cpu.system) / 1_000_000 / seconds / size) * 100;
     globalThis.gc?.();
     const heapMegabytes = (process.memoryUsage().heapUsed - heapBefore) / size / 1_048_576;
-    return { links: fleet.getLinksEach(), bytesPerSecond, corePercent, heapMegabytes };
+    return { links: fleet.getLinksPerInstance(), bytesPerSecond, corePercent, heapMegabytes };
 }
 
-/** Instances over real sockets around one key-value service in memory. */
+/** Instances that are linked by real sockets and share one key-value service in memory. */
 export class LinkedFleet implements AsyncDisposable {
     private readonly clock = new core.SystemClock();
     private readonly keyValue = new standins.MemoryKeyValueService(this.clock);
@@ -72,14 +72,14 @@
         for (let index = 0; index < size; index++) {
             fleet.instances.push(await fleet.createInstance(`entry-${index}`));
         }
-        // Everyone reads the whole list and links its neighbours.
+        // Gives all instances time to read the complete list and to connect to their neighbours.
         await new Promise<void>(resolve => setTimeout(resolve, 3_500));
         return fleet;
     }
 
-    /** Publishes one note; returns the milliseconds until every instance has it. */
-    async publish(generation: core.Generation, way: Way): Promise<number> {
-        this.keyValue.faults.isWatchCut = way !== Way.Watch;
+    /** Publishes one note and returns the time in milliseconds until every instance has it. */
+    async publish(generation: core.Generation, condition: PublishCondition): Promise<number> {
+        this.keyValue.faults.isWatchCut = condition !== PublishCondition.Watch;
         const publisher = new release.KeyValueNotePublisher({
             keyValue: this.keyValue,
             clock: this.clock,
@@ -91,16 +91,17 @@
         const request = { source, file: "note.yaml", replaces: generation - 1, author: "measure" };
         const outcome = await publisher.publish(request);
         core.Debug.assert(outcome.kind === release.PublishKind.Published, "the note is published");
-        // An instance that starts just now reads the note before the service goes; the others have only its word.
-        const told = way === Way.Outage ? await this.createInstance(`told-${generation}`) : undefined;
-        this.keyValue.faults.isDown = way === Way.Outage;
+        // An instance that starts now reads the note before the service goes down. The others can only get it from a peer.
+        const lateInstance =
+            condition === PublishCondition.Outage ? await this.createInstance(`told-${generation}`) : undefined;
+        this.keyValue.faults.isDown = condition === PublishCondition.Outage;
         await inForce;
         const milliseconds = performance.now() - startedAt;
         this.keyValue.faults.isDown = false;
         this.keyValue.healWatches();
-        if (told !== undefined) {
+        if (lateInstance !== undefined) {
             this.list.instances.pop();
-            await stopInstance(told);
+            await stopInstance(lateInstance);
         }
         return milliseconds;
     }
@@ -109,7 +110,7 @@
         return this.instances.reduce((sum, instance) => sum + instance.network.getTraffic().sent, 0);
     }
 
-    getLinksEach(): number {
+    getLinksPerInstance(): number {
         const links = this.instances.reduce((sum, instance) => sum + instance.network.getConnectedPeers().length, 0);
         return links / this.instances.length;
     }
@@ -119,7 +120,7 @@
     }
 
     private async createInstance(id: core.InstanceId): Promise<Instance> {
-        const late: LateParts = {};
+        const deferredParts: DeferredParts = {};
         const instanceTelemetry = createTelemetry(id, this.clock);
         const network = await protocol.WebSocketPeerNetwork.start({
             instance: id,
@@ -128,11 +129,11 @@
             keys: ["measure"],
             clock: this.clock,
             telemetry: instanceTelemetry,
-            getNeighbours: () => late.membership?.getNeighbours() ?? [],
-            tryGetAddress: peer => late.membership?.tryGetAddress(peer),
+            getNeighbours: () => deferredParts.membership?.getNeighbours() ?? [],
+            tryGetAddress: peer => deferredParts.membership?.tryGetAddress(peer),
             createHeartbeat: () => ({
                 kind: protocol.MessageKind.Heartbeat,
-                generation: late.keeper?.tryGetNote()?.generation ?? 0,
+                generation: deferredParts.keeper?.tryGetNote()?.generation ?? 0,
                 logicalTime: instanceTelemetry.timeLine.getLogicalTime(),
                 state: core.LifeState.Live,
             }),
@@ -151,7 +152,7 @@
             instanceList: this.list,
             clock: this.clock,
         });
-        late.membership = membership;
+        deferredParts.membership = membership;
         membership.attach(network);
         const keeper = await release.KeyValueNoteKeeper.start({
             keyValue: this.keyValue,
@@ -161,7 +162,7 @@
             telemetry: instanceTelemetry,
             countInstances: () => this.instances.length,
         });
-        late.keeper = keeper;
+        deferredParts.keeper = keeper;
         return { network, membership, keeper };
     }
 }
@@ -190,7 +191,7 @@
     return new telemetry.Telemetry({ instance, logLevel: "silent" }, clock);
 }
 
-/** About as large as a small fleet's: what a pull has to carry. */
+/** About as large as the note of a small fleet, because an instance that pulls a note transfers all of it. */
 const FirstNote = [
     "added:",
     "    models:",
--- a/packages/tools/src/measuredFleet.ts
+++ b/packages/tools/src/measuredFleet.ts
@@ -5,9 +5,9 @@
 import * as telemetry from "@boragedale/telemetry";
 import * as work from "@boragedale/work";
 
-/** The parts that measurements of the work package share: instances over one key-value service, in virtual time. */
+/** Shared by the measurements of the work package: instances that use one key-value service, in virtual time. */
 
-/** Time that a call to the key-value service takes in these measurements, in milliseconds. */
+/** The time that a call to the key-value service takes in these measurements. */
 export const KeyValueMilliseconds = 3;
 
 export class MeasuredFleet {
@@ -15,7 +15,7 @@
     readonly keyValue = new CountingKeyValueService(this.clock);
     readonly hub = new standins.MemoryPeerHub();
     readonly names: core.InstanceId[];
-    readonly gone = new Set<core.InstanceId>();
+    readonly removedInstances = new Set<core.InstanceId>();
     readonly listeners = new Set<() => void>();
 
     constructor(instances: number) {
@@ -34,9 +34,9 @@
         };
     }
 
-    markGone(instance: core.InstanceId): void {
+    markRemoved(instance: core.InstanceId): void {
         this.hub.remove(instance);
-        this.gone.add(instance);
+        this.removedInstances.add(instance);
         this.listeners.forEach(listener => listener());
     }
 
@@ -45,8 +45,9 @@
     }
 
     /**
-     * Runs virtual time in steps until `isDone`; returns how much passed. Large values are compressed on threads, in
-     * real time: `pauseMilliseconds` of it after each step keep virtual time from running ahead of them.
+     * Advances virtual time in steps until `isDone` returns true, and returns the elapsed virtual time. Large values are
+     * compressed by threads in real time. A real pause of `pauseMilliseconds` after each step prevents virtual time from
+     * running ahead of them.
      */
     async runUntil(isDone: () => boolean, stepMilliseconds: number, pauseMilliseconds = 0): Promise<number> {
         const start = this.clock.now();
@@ -60,7 +61,7 @@
     }
 }
 
-/** Counts reads and the bytes of written values beside the writes that the stand-in counts. */
+/** Counts reads and the bytes of written values, in addition to the writes that the stand-in counts. */
 export class CountingKeyValueService extends standins.MemoryKeyValueService {
     reads = 0;
     writtenBytes = 0;
@@ -93,7 +94,7 @@
     readonly instance: core.InstanceId;
 }
 
-/** Runs every item in a fixed time, a fixed number at once. */
+/** Runs a fixed number of items concurrently. Each takes a fixed time. */
 export class TimedExecutor extends work.ItemExecutor {
     running = 0;
     started = 0;
@@ -128,7 +129,7 @@
     }
 }
 
-/** Text that compresses about as well as prose does, and differs from item to item. */
+/** Creates text that compresses about as well as prose and differs for each seed. */
 export function createText(seed: number, bytes: number): string {
     const words: string[] = [];
     let state = seed + 1;
@@ -163,11 +164,11 @@
         return this.getLiveNames().map(id => ({ id, dataCentre: "a", state: core.LifeState.Live, ...urls }));
     }
 
-    override tryGetHolder(duty: string): core.InstanceId | undefined {
+    override tryGetHolder(assignment: string): core.InstanceId | undefined {
         let holder: core.InstanceId | undefined;
         let highest = -1;
         for (const name of this.getLiveNames()) {
-            const weight = hash(`${duty}/${name}`);
+            const weight = hash(`${assignment}/${name}`);
             if (weight > highest) {
                 highest = weight;
                 holder = name;
@@ -176,12 +177,12 @@
         return holder;
     }
 
-    override tryGetHolderIn(dataCentre: core.DataCentre, duty: string): core.InstanceId | undefined {
-        return this.tryGetHolder(`${dataCentre}/${duty}`);
+    override tryGetHolderIn(dataCentre: core.DataCentre, assignment: string): core.InstanceId | undefined {
+        return this.tryGetHolder(`${dataCentre}/${assignment}`);
     }
 
     override isGone(instance: core.InstanceId): boolean {
-        return this.fleet.gone.has(instance);
+        return this.fleet.removedInstances.has(instance);
     }
 
     override onChange(listener: () => void): () => void {
@@ -190,7 +191,7 @@
     }
 
     private getLiveNames(): readonly core.InstanceId[] {
-        return this.fleet.names.filter(name => !this.fleet.gone.has(name));
+        return this.fleet.names.filter(name => !this.fleet.removedInstances.has(name));
     }
 }
 
--- a/packages/tools/src/slopes/decisionSlopes.ts
+++ b/packages/tools/src/slopes/decisionSlopes.ts
@@ -3,33 +3,33 @@
 import * as cost from "./cost.js";
 import type * as table from "./table.js";
 
-/** What the decisions of one instance cost against upstreams, queued requests and callers. */
+/** Measures the cost of an instance's decisions by the number of upstreams, queued requests and callers. */
 
 const CandidateCounts = [100, 400, 700, 1_100];
 const CallerCounts = [500, 2_000, 6_200];
 const StreamCounts = [8, 32, 128];
-const Prefixes = 200;
+const PrefixCount = 200;
 const Model = "model";
-/** Upstreams that one of 400 instances uses for online work is a subset; see `decisions.getSubsetSize`. */
-const Instances = 400;
-const Upstreams = 1_100;
+/** Each of the 400 instances uses only a subset of the upstreams for online requests; see `decisions.getSubsetSize`. */
+const InstanceCount = 400;
+const UpstreamCount = 1_100;
 
 export function measurePlacement(): table.SlopeTable {
-    const target = decisions.getSubsetSize(Upstreams, Instances);
+    const target = decisions.getSubsetSize(UpstreamCount, InstanceCount);
     return {
         name: "placement",
         slopes: [
             {
                 cost: "µs of CPU to place, send and finish one request",
                 load: "candidates",
-                points: CandidateCounts.map(x => ({ x, y: measurePlacing(x) })),
+                points: CandidateCounts.map(x => ({ x, y: measurePlacementMicroseconds(x) })),
                 target,
             },
             {
                 cost: "bytes of heap of what is known of the upstreams",
                 load: "upstreams",
                 points: CandidateCounts.map(x => ({ x, y: cost.measureHeapBytes(() => createUsedPlacement(x)) })),
-                target: Upstreams,
+                target: UpstreamCount,
             },
         ],
     };
@@ -42,7 +42,7 @@
             {
                 cost: "µs of CPU to complete one request, take the next and offer another",
                 load: "callers with queued requests",
-                points: CallerCounts.map(x => ({ x, y: measureAdmitting(x) })),
+                points: CallerCounts.map(x => ({ x, y: measureAdmissionMicroseconds(x) })),
                 target: 6_200,
             },
             {
@@ -62,7 +62,7 @@
             {
                 cost: "µs of CPU of one notice of pressure and one decision",
                 load: "batch streams on the upstream",
-                points: StreamCounts.map(x => ({ x, y: measureDeciding(x) })),
+                points: StreamCounts.map(x => ({ x, y: measureGateMicroseconds(x) })),
                 target: 128,
             },
             {
@@ -75,7 +75,7 @@
     };
 }
 
-function measurePlacing(candidateCount: number): number {
+function measurePlacementMicroseconds(candidateCount: number): number {
     const candidates = createCandidates(candidateCount);
     const placement = new decisions.Placement({ random: () => 0.5 });
     return cost.measureMicroseconds(800, call => placeOnce(placement, candidates, call));
@@ -99,7 +99,11 @@
     candidates: readonly decisions.PlacementCandidate[],
     call: number,
 ): void {
-    const request = { model: Model, prefixHash: `prefix-${call % Prefixes}`, requestClass: core.RequestClass.Online };
+    const request = {
+        model: Model,
+        prefixHash: `prefix-${call % PrefixCount}`,
+        requestClass: core.RequestClass.Online,
+    };
     const decision = placement.choose(request, candidates, call);
     core.Debug.assert(decision.kind === decisions.PlacementKind.Placed, "an upstream has room");
     placement.onSent("request", decision.upstream, core.RequestClass.Online, call);
@@ -118,7 +122,7 @@
     }));
 }
 
-function measureAdmitting(callers: number): number {
+function measureAdmissionMicroseconds(callers: number): number {
     const queue = createQueue(callers);
     return cost.measureMicroseconds(40_000, call => {
         queue.offer(createItem(call % callers), 1);
@@ -127,7 +131,7 @@
     });
 }
 
-/** One request runs, and one of each caller waits. */
+/** Creates a queue in which one request is running and one request of each caller is waiting. */
 function createQueue(callers: number): decisions.AdmissionQueue<number> {
     const queue = new decisions.AdmissionQueue<number>({
         limit: 1,
@@ -144,7 +148,7 @@
     return { value: caller, caller: `caller-${caller}`, weight: 1, cost: 1, deadlineAt: 1e9 };
 }
 
-function measureDeciding(streams: number): number {
+function measureGateMicroseconds(streams: number): number {
     const gate = createGate(streams);
     return cost.measureMicroseconds(5_000, call => {
         gate.onOnlinePressure({ instance: `entry-${call % 40}`, inFlight: call % 3, queued: 0 }, call * 20);
--- a/packages/tools/src/slopes/faceSlopes.ts
+++ b/packages/tools/src/slopes/faceSlopes.ts
@@ -1,16 +1,16 @@
 import * as measuredInstance from "../overhead/measuredInstance.js";
 import type * as table from "./table.js";
 
-/** What an instance as callers meet it costs in CPU: separate processes on loopback, whole program, one engine. */
+/** Measures the CPU cost of serving callers with the complete program: one instance and one engine as separate processes. */
 
 const TokenCounts = [1, 50, 150, 300];
 const StreamCounts = [25, 50, 100];
 const Seconds = 4;
 const TokenMilliseconds = 31;
-/** 1.7 million tokens a second over 400 instances. */
-const TargetTokens = 4_250;
-/** Tokens of a request on average at the aim: 1.7 million a second over 4,200 requests a second. */
-const TargetLength = 405;
+/** 1.7 million tokens per second, divided among 400 instances. */
+const TargetTokensPerSecond = 4_250;
+/** The average number of tokens per request at 1.7 million tokens and 4,200 requests per second. */
+const TargetTokensPerRequest = 405;
 
 export async function measureFace(): Promise<table.SlopeTable> {
     await using instance = await measuredInstance.MeasuredInstance.start();
@@ -39,19 +39,19 @@
                 cost: "µs of CPU of a request, tokens as fast as they go, 32 at a time",
                 load: "tokens of the answer",
                 points: requests,
-                target: TargetLength,
+                target: TargetTokensPerRequest,
             },
             {
                 cost: "% of a core, 60 tokens an answer, one every 31 ms",
                 load: "tokens a second",
                 points: streams,
-                target: TargetTokens,
+                target: TargetTokensPerSecond,
             },
         ],
     };
 }
 
-/** A refused request costs less than a served one, and would make the figure too good. */
+/** Throws if requests failed: a rejected request costs less than a served one and would make the result too low. */
 function checkErrors(run: measuredInstance.MeasuredLoad): void {
     if (run.errors > 0) {
         throw new Error(`${run.errors} requests failed; the measurement does not count.`);
--- a/packages/tools/src/slopes/noteSlopes.ts
+++ b/packages/tools/src/slopes/noteSlopes.ts
@@ -5,7 +5,7 @@
 import * as cost from "./cost.js";
 import type * as table from "./table.js";
 
-/** What a release note costs against the size of the fleet that it describes. */
+/** Measures the cost of a release note by the size of the fleet that it describes. */
 
 const UpstreamCounts = [100, 400, 700, 1_100];
 const CallerCounts = [500, 2_000, 4_000, 6_200];
@@ -21,19 +21,19 @@
             {
                 cost: `bytes of the stored note, ${format(TargetCallers)} callers`,
                 load: "upstreams",
-                points: UpstreamCounts.map(x => ({ x, y: measureBytes(x, TargetCallers) })),
+                points: UpstreamCounts.map(x => ({ x, y: measureStoredBytes(x, TargetCallers) })),
                 target: TargetUpstreams,
             },
             {
                 cost: `bytes of the stored note, ${format(TargetUpstreams)} upstreams`,
                 load: "callers",
-                points: CallerCounts.map(x => ({ x, y: measureBytes(TargetUpstreams, x) })),
+                points: CallerCounts.map(x => ({ x, y: measureStoredBytes(TargetUpstreams, x) })),
                 target: TargetCallers,
             },
             {
                 cost: "bytes of the stored note whose text adds them all at once",
                 load: "callers",
-                points: CallerCounts.map(x => ({ x, y: measureFirstBytes(x) })),
+                points: CallerCounts.map(x => ({ x, y: measureStoredBytesOfFirstNote(x) })),
                 target: TargetCallers,
             },
             {
@@ -45,19 +45,19 @@
             {
                 cost: `µs of CPU to check a note of one change, ${format(TargetUpstreams)} upstreams`,
                 load: "callers",
-                points: CallerCounts.map(x => ({ x, y: measureCheck(x) })),
+                points: CallerCounts.map(x => ({ x, y: measureCheckMicroseconds(x) })),
                 target: TargetCallers,
             },
             {
                 cost: `µs of CPU to unpack and check a stored note, ${format(TargetUpstreams)} upstreams`,
                 load: "callers",
-                points: CallerCounts.map(x => ({ x, y: measureDecode(x) })),
+                points: CallerCounts.map(x => ({ x, y: measureDecodeMicroseconds(x) })),
                 target: TargetCallers,
             },
             {
                 cost: `bytes of heap of the note in force, ${format(TargetUpstreams)} upstreams`,
                 load: "callers",
-                points: CallerCounts.map(x => ({ x, y: measureHeap(x) })),
+                points: CallerCounts.map(x => ({ x, y: measureHeapBytes(x) })),
                 target: TargetCallers,
             },
         ],
@@ -87,17 +87,17 @@
     };
 }
 
-function measureBytes(upstreams: number, callers: number): number {
+function measureStoredBytes(upstreams: number, callers: number): number {
     return release.encodeNote(createNote(upstreams, callers)).byteLength;
 }
 
-/** The text is kept beside the fleet that came of it. */
-function measureFirstBytes(callers: number): number {
+/** Measures a note whose source adds everything. The source is stored in addition to the fleet that results from it. */
+function measureStoredBytesOfFirstNote(callers: number): number {
     const note = createNote(TargetUpstreams, callers);
     return release.encodeNote({ ...note, source: createSource(TargetUpstreams, callers) }).byteLength;
 }
 
-function measureCheck(callers: number): number {
+function measureCheckMicroseconds(callers: number): number {
     const base = createNote(TargetUpstreams, callers).fleet;
     const change = "changed:\n    upstreams:\n        - { id: engine-1, concurrency: 100 }\n";
     return cost.measureMicroseconds(ChecksPerPoint, () => {
@@ -106,17 +106,17 @@
     });
 }
 
-function measureDecode(callers: number): number {
+function measureDecodeMicroseconds(callers: number): number {
     const value = release.encodeNote(createNote(TargetUpstreams, callers));
     return cost.measureMicroseconds(ChecksPerPoint, () => void release.tryDecodeNote(value));
 }
 
-function measureHeap(callers: number): number {
+function measureHeapBytes(callers: number): number {
     const value = release.encodeNote(createNote(TargetUpstreams, callers));
     return cost.measureHeapBytes(() => release.tryDecodeNote(value));
 }
 
-/** The note in force after fleet and callers were added and one more note changed something small. */
+/** Creates the note in force after one note has added the fleet and the callers and another has made a small change. */
 function createNote(upstreams: number, callers: number): core.NoteInForce {
     const fleet: core.FleetDescription = {
         models: Array.from({ length: 4 }, (...[, index]: [unknown, number]) => ({
--- a/packages/tools/src/slopes/page.ts
+++ b/packages/tools/src/slopes/page.ts
@@ -1,6 +1,6 @@
-/** Puts measured tables into a page between `<!-- slopes:begin NAME -->` and `<!-- slopes:end NAME -->`. */
+/** Inserts measured tables into a page between `<!-- slopes:begin NAME -->` and `<!-- slopes:end NAME -->`. */
 
-/** Returns the page with the table in its place; throws where the page has no such place, or more than one. */
+/** Returns the page with the table between its markers. Throws if the page doesn't have these markers exactly once. */
 export function replaceTable(page: string, name: string, table: string): string {
     const begin = `<!-- slopes:begin ${name} -->`;
     const end = `<!-- slopes:end ${name} -->`;
--- a/packages/tools/src/slopes/table.ts
+++ b/packages/tools/src/slopes/table.ts
@@ -1,23 +1,23 @@
 import * as decisions from "@boragedale/decisions";
 
-/** One measured point: a load or a size, and what it cost. */
+/** One measured point: `x` is a load or a size, `y` its cost. */
 export interface Point {
     readonly x: number;
     readonly y: number;
 }
 
-/** One measured cost over a growing load, and where the fitted line is read for the page. */
+/** The points of one cost measured at increasing loads, to which a line is fitted. */
 export interface Slope {
-    /** What was measured, with its unit, such as `bytes of a note`. */
+    /** The measured quantity with its unit, such as `bytes of a note`. */
     readonly cost: string;
-    /** What grew, such as `upstreams`. */
+    /** The quantity that increases, such as `upstreams`. */
     readonly load: string;
     readonly points: readonly Point[];
-    /** The load at which the capacity page reads the line. */
+    /** The load for which the capacity page states the value of the line. */
     readonly target: number;
 }
 
-/** The slopes of one role; `name` is that of its markers in the page. */
+/** The slopes of one component. `name` is the name in the markers of the page. */
 export interface SlopeTable {
     readonly name: string;
     readonly slopes: readonly Slope[];
@@ -25,18 +25,26 @@
 
 interface FittedSlope {
     readonly line: decisions.Line;
-    /** Part of the variance that the line explains, 0 to 1. */
+    /** The fraction of the variance that the line explains, from 0 to 1. */
     readonly explained: number;
-    /** Largest distance of a point from the line, as a part of the largest value. */
+    /** The largest distance of a point from the line, as a fraction of the largest value. */
     readonly largestResidual: number;
 }
 
-const Head = ["cost", "grows with", "points (load: cost)", "base + slope", "r²", "largest residual", "at the target"];
+const HeaderCells = [
+    "cost",
+    "grows with",
+    "points (load: cost)",
+    "base + slope",
+    "r²",
+    "largest residual",
+    "at the target",
+];
 
-/** A table in Markdown, its columns padded as the formatter pads them: the page must pass the check as it is written. */
+/** Formats a Markdown table. Columns are padded as the formatter pads them, so that the page passes the format check. */
 export function formatTable(table: SlopeTable): string {
-    const rows = [Head, ...table.slopes.map(createCells)];
-    const widths = Head.map((...[, column]: [unknown, number]) =>
+    const rows = [HeaderCells, ...table.slopes.map(createCells)];
+    const widths = HeaderCells.map((...[, column]: [unknown, number]) =>
         Math.max(...rows.map(row => row[column]?.length ?? 0)),
     );
     const rule = `| ${widths.map(width => "-".repeat(width)).join(" | ")} |`;
@@ -48,7 +56,7 @@
     return `| ${cells.map((cell, column) => cell.padEnd(widths[column] ?? 0)).join(" | ")} |`;
 }
 
-/** Fits a straight line by least squares; needs three points of different loads to tell its own error. */
+/** Fits a line by least squares. Needs three points of different loads, because fewer leave no error to estimate. */
 export function fitSlope(points: readonly Point[]): FittedSlope {
     const fit = new decisions.LinearFit(1);
     points.forEach(point => fit.add(point.x, point.y));
@@ -88,7 +96,7 @@
 }
 
 function formatNumber(value: number): string {
-    // What the fit leaves of an exact zero would read as a figure.
+    // Rounding errors of the fit would turn an exact zero into a tiny number.
     return Math.abs(value) < 1e-9
         ? "0"
         : Number(value.toPrecision(4)).toLocaleString("en-GB", { maximumSignificantDigits: 4 });
--- a/packages/tools/src/slopes/workSlopes.ts
+++ b/packages/tools/src/slopes/workSlopes.ts
@@ -2,7 +2,7 @@
 import * as cost from "./cost.js";
 import type * as table from "./table.js";
 
-/** What the ledger and jobs ask of the key-value service, in virtual time, and what they cost in CPU. */
+/** Measures the key-value calls of the ledger and of jobs in virtual time, and their CPU cost. */
 
 const LedgerInstances = 8;
 const CallMilliseconds = 50;
@@ -11,10 +11,10 @@
 const ItemCounts = [2_000, 10_000, 20_000, 40_000];
 const LargestJob = 380_000;
 
-interface Measured<T> {
+interface MeasuredRun<T> {
     readonly x: number;
     readonly run: T;
-    /** CPU of all instances, the stand-ins and the load together: an upper bound. */
+    /** CPU time of all instances, the stand-ins and the load generator together, which is an upper bound. */
     readonly microseconds: number;
 }
 
@@ -61,7 +61,7 @@
 
 export async function measureJobs(): Promise<table.SlopeTable> {
     const runs = await measureEach(ItemCounts, items => workRuns.runJob(LedgerInstances, items));
-    const pick = (cells: (measured: Measured<workRuns.JobRun>) => number): readonly table.Point[] =>
+    const createPoints = (cells: (measured: MeasuredRun<workRuns.JobRun>) => number): readonly table.Point[] =>
         runs.map(measured => ({ x: measured.x, y: cells(measured) }));
     return {
         name: "jobs",
@@ -69,25 +69,25 @@
             {
                 cost: "key-value writes of a job",
                 load: "items",
-                points: pick(({ run }) => run.writes),
+                points: createPoints(({ run }) => run.writes),
                 target: LargestJob,
             },
             {
                 cost: "key-value reads of a job",
                 load: "items",
-                points: pick(({ run }) => run.reads),
+                points: createPoints(({ run }) => run.reads),
                 target: LargestJob,
             },
             {
                 cost: "bytes of values written (300 in, 400 out an item)",
                 load: "items",
-                points: pick(({ run }) => run.writtenBytes),
+                points: createPoints(({ run }) => run.writtenBytes),
                 target: LargestJob,
             },
             {
                 cost: "µs of CPU, stand-ins and load included",
                 load: "items",
-                points: pick(({ microseconds }) => microseconds),
+                points: createPoints(({ microseconds }) => microseconds),
                 target: LargestJob,
             },
         ],
@@ -97,8 +97,8 @@
 async function measureEach<T>(
     loads: readonly number[],
     run: (load: number) => Promise<T>,
-): Promise<readonly Measured<T>[]> {
-    const measured: Measured<T>[] = [];
+): Promise<readonly MeasuredRun<T>[]> {
+    const measured: MeasuredRun<T>[] = [];
     for (const x of loads) {
         const before = process.cpuUsage();
         const result = await run(x);
--- a/packages/tools/src/workRuns.ts
+++ b/packages/tools/src/workRuns.ts
@@ -3,9 +3,9 @@
 import * as work from "@boragedale/work";
 import * as measuredFleet from "./measuredFleet.js";
 
-/** Bookings and jobs that measurements run in virtual time over a number of instances. */
+/** Runs bookings and jobs on a number of instances in virtual time, for measurements. */
 
-/** What the bookings of one run cost. Times in milliseconds of virtual time. */
+/** The cost of the bookings of one run. Times are in milliseconds of virtual time. */
 export interface BookingRun {
     readonly writes: number;
     readonly reads: number;
@@ -13,15 +13,15 @@
     readonly virtualMilliseconds: number;
     readonly commits: number;
     readonly requestsPerCommit: number;
-    /** Time that the ledger added to each call, in ascending order. */
-    readonly added: readonly number[];
+    /** The time that the ledger added to each call, in ascending order. */
+    readonly addedMilliseconds: readonly number[];
 }
 
-/** What one job cost. */
+/** The cost of one job. */
 export interface JobRun {
     readonly succeeded: number | undefined;
-    /** Items started, those started again included. */
-    readonly started: number;
+    /** The number of item starts, including repeated starts of the same item. */
+    readonly startedItems: number;
     readonly writes: number;
     readonly reads: number;
     readonly writtenBytes: number;
@@ -31,7 +31,7 @@
 
 const GoldenRatio = 0.618_033_988;
 
-/** Makes bookings with `inFlight` at once over the instances, each of which takes about `callMilliseconds` to run. */
+/** Makes bookings on all instances, `inFlight` at a time. Each booking takes about `callMilliseconds` to run. */
 export async function runBookings(
     instances: number,
     inFlight: number,
@@ -46,15 +46,15 @@
     const workers = [...Array(inFlight).keys()].map(async worker => {
         for (let booking = next++; booking < bookings; booking = next++) {
             const start = fleet.clock.now();
-            // Calls of one length would run in step with each other, and all arrive for the same commit.
-            const length = callMilliseconds * (0.5 + ((booking * GoldenRatio) % 1));
-            await book(fleet, ledgers[(worker + booking) % instances], `booking-${booking}`, length);
-            added.push(fleet.clock.now() - start - length);
+            // Calls of equal duration would stay synchronized and all end up in the same commit.
+            const durationMilliseconds = callMilliseconds * (0.5 + ((booking * GoldenRatio) % 1));
+            await book(fleet, ledgers[(worker + booking) % instances], `booking-${booking}`, durationMilliseconds);
+            added.push(fleet.clock.now() - start - durationMilliseconds);
         }
     });
     let isDone = false;
     void Promise.all(workers).then(() => (isDone = true));
-    const passed = await fleet.runUntil(() => isDone, 1);
+    const elapsedMilliseconds = await fleet.runUntil(() => isDone, 1);
     const commits = sumCounts(parts, "boragedale_ledger_commits_total");
     const requests = sumCounts(parts, "boragedale_ledger_commit_requests_total");
     added.sort((left, right) => left - right);
@@ -62,10 +62,10 @@
         writes: fleet.countWrites(),
         reads: fleet.keyValue.reads,
         writtenBytes: fleet.keyValue.writtenBytes,
-        virtualMilliseconds: passed,
+        virtualMilliseconds: elapsedMilliseconds,
         commits,
         requestsPerCommit: requests / commits,
-        added,
+        addedMilliseconds: added,
     };
 }
 
@@ -83,7 +83,7 @@
     await target.finish(begun.record, { status: 200, headers: {}, body }, 10_000);
 }
 
-/** Runs one job over the instances to its end. */
+/** Runs one job on the instances until it ends. */
 export async function runJob(instances: number, items: number): Promise<JobRun> {
     const fleet = new measuredFleet.MeasuredFleet(instances);
     const parts = fleet.names.map(name => fleet.createParts(name));
@@ -94,17 +94,17 @@
         work.createJobRunner({ ...part, executor });
     });
     const store = core.Debug.checkDefined(stores[0], "a store");
-    let end: work.JobDescription | undefined;
-    void submitAndWait(fleet, store, items).then(job => (end = job));
-    const passed = await fleet.runUntil(() => end !== undefined, 250, 10);
+    let finishedJob: work.JobDescription | undefined;
+    void submitAndWait(fleet, store, items).then(job => (finishedJob = job));
+    const elapsedMilliseconds = await fleet.runUntil(() => finishedJob !== undefined, 250, 10);
     return {
-        succeeded: end?.counts.succeeded,
-        started: executors.reduce((sum, executor) => sum + executor.started, 0),
+        succeeded: finishedJob?.counts.succeeded,
+        startedItems: executors.reduce((sum, executor) => sum + executor.started, 0),
         writes: fleet.countWrites(),
         reads: fleet.keyValue.reads,
         writtenBytes: fleet.keyValue.writtenBytes,
         writesByPurpose: fleet.keyValue.writes,
-        virtualMilliseconds: passed,
+        virtualMilliseconds: elapsedMilliseconds,
     };
 }
 
