--- a/packages/backing/src/httpInstanceList.ts
+++ b/packages/backing/src/httpInstanceList.ts
@@ -17,7 +17,7 @@
 const instanceShape = zod.object({
     id: zod.string().min(1),
     dataCentre: zod.string(),
-    state: zod.enum(core.LifeState),
+    state: zod.enum(core.LifecycleState),
     callerUrl: zod.string(),
     peerUrl: zod.string(),
     operatorUrl: zod.string(),
--- a/packages/backing/src/httpKeyValueService.ts
+++ b/packages/backing/src/httpKeyValueService.ts
@@ -82,7 +82,7 @@
         let afterRevision = request.afterRevision;
         let wait = this.options.watchRetryMilliseconds ?? DefaultWatchRetryMilliseconds;
         for (;;) {
-            await request.admit?.();
+            await request.beforeConnect?.();
             if (request.signal.aborted) {
                 return;
             }
--- a/packages/backing/src/pacedKeyValueService.ts
+++ b/packages/backing/src/pacedKeyValueService.ts
@@ -113,7 +113,7 @@
     }
 
     override watch(request: types.WatchRequest): AsyncIterable<types.WatchEvent> {
-        return this.inner.watch({ ...request, admit: () => this.admitWatch(request.signal) });
+        return this.inner.watch({ ...request, beforeConnect: () => this.admitWatch(request.signal) });
     }
 
     /** Fails queued calls immediately, as not written. Calls that were sent already run to their end. */
--- a/packages/backing/src/types.ts
+++ b/packages/backing/src/types.ts
@@ -73,7 +73,7 @@
     readonly afterRevision: Revision;
     readonly signal: AbortSignal;
     /** Awaited before each connection, so that the paced client can count and delay connections. */
-    readonly admit?: () => Promise<void>;
+    readonly beforeConnect?: () => Promise<void>;
 }
 
 export enum WatchEventKind {
--- a/packages/bench/src/batchCoordinator.ts
+++ b/packages/bench/src/batchCoordinator.ts
@@ -111,7 +111,7 @@
         const now = this.context.simulation.now();
         const isRecentCoordinator =
             now > 0 && now - (this.coordinatorSince.get(upstream) ?? 0) < CoordinatorOverlapMilliseconds;
-        gate.setHomes(isRecentCoordinator && this.coordinatorSince.get(upstream) !== 0 ? 2 : 1);
+        gate.setCoordinatorCount(isRecentCoordinator && this.coordinatorSince.get(upstream) !== 0 ? 2 : 1);
         const decision = gate.decide(now);
         for (const id of decision.streamsToCancel) {
             this.cancel(id, gate);
@@ -206,7 +206,7 @@
                 gate.onEnded(stream.id);
                 this.instance.placement.onFinished(stream.id);
                 this.instance.suspects.onFinished(stream.id, upstream);
-                this.order.settle(item.caller, 1, getCost(item), item.ownTokens / 4 + item.outputTokens);
+                this.order.correctCost(item.caller, 1, getCost(item), item.ownTokens / 4 + item.outputTokens);
                 measures.onFinished(core.RequestClass.Batch, item.caller, item.outputTokens, true);
                 this.apply(upstream);
             },
--- a/packages/bench/src/membership/membershipRun.ts
+++ b/packages/bench/src/membership/membershipRun.ts
@@ -65,7 +65,7 @@
 
 interface Fleet {
     readonly time: simulation.Simulation;
-    readonly registrySimulation: standins.RegistryWorld;
+    readonly registrySimulation: standins.RegistrySimulation;
     readonly calls: StoreCall[];
     /** Bytes sent to peers, by sender. */
     readonly sent: Map<string, number>;
@@ -93,7 +93,7 @@
     const sent = new Map<string, number>();
     const hub = new standins.MemoryPeerHub();
     hub.onSent = (message, from) => void sent.set(from, (sent.get(from) ?? 0) + getFrameBytes(message));
-    const registrySimulation: standins.RegistryWorld = {
+    const registrySimulation: standins.RegistrySimulation = {
         clock,
         metadata: new standins.MemoryMetadata(clock),
         hub,
--- a/packages/bench/src/membership/plainCodec.ts
+++ b/packages/bench/src/membership/plainCodec.ts
@@ -16,7 +16,7 @@
         return { ok: false, findings: [] };
     }
 
-    override createRetirementDone(machine: string): { readonly key: string; readonly value: Uint8Array } {
+    override createRetirementConfirmation(machine: string): { readonly key: string; readonly value: Uint8Array } {
         return { key: machine, value: new Uint8Array() };
     }
 }
--- a/packages/bench/src/slots/slotsFleet.ts
+++ b/packages/bench/src/slots/slotsFleet.ts
@@ -41,8 +41,8 @@
 }
 
 /** A coordinator directory that never grants slots, whatever the size of the fleet. */
-class NonGrantingCoordinatorDirectory extends gateway.HomeDirectory {
-    override isLending(): boolean {
+class NonGrantingCoordinatorDirectory extends gateway.CoordinatorDirectory {
+    override areSlotsGranted(): boolean {
         return false;
     }
 }
@@ -65,22 +65,22 @@
         directory.apply(entries);
         const source = new random.Random(options.seed * 10_000 + index);
         const draw = (): number => source.next();
-        const slotTable = new decisions.SlotBoard(draw, upstream => decisions.hashToUnit(`${id}/${upstream}`));
+        const slotTable = new decisions.SlotTable(draw, upstream => decisions.hashToUnit(`${id}/${upstream}`));
         const usesCoordinators = options.sharing === Sharing.Coordinators;
-        const coordinators = new (usesCoordinators ? gateway.HomeDirectory : NonGrantingCoordinatorDirectory)(
+        const coordinators = new (usesCoordinators ? gateway.CoordinatorDirectory : NonGrantingCoordinatorDirectory)(
             directory,
             view,
             clock,
         );
         const onHomeSilent = (): void => undefined;
         const slots = new gateway.SlotSharing({
-            board: slotTable,
+            slotTable: slotTable,
             network,
             clock,
-            homes: coordinators,
+            coordinators: coordinators,
             dataCentre,
             random: draw,
-            onHomeSilent,
+            onCoordinatorUnresponsive: onHomeSilent,
         });
         void slots.run();
         return { id, slots, network, candidates: chooseCandidates(id, view, options.sharing) };
@@ -158,7 +158,7 @@
         return { ok: true, value: JSON.parse(Buffer.from(value).toString()) as gateway.UpstreamEntry };
     }
 
-    override createRetirementDone(machine: string): { readonly key: string; readonly value: Uint8Array } {
+    override createRetirementConfirmation(machine: string): { readonly key: string; readonly value: Uint8Array } {
         return { key: machine, value: new Uint8Array() };
     }
 }
--- a/packages/cli/src/commandSettings.ts
+++ b/packages/cli/src/commandSettings.ts
@@ -62,9 +62,9 @@
     for (const definition of definitions) {
         const variable = entry.getVariableName(definition.flag);
         const isFlag = flags[definition.flag] !== undefined || variables[variable] === undefined;
-        const place: core.Place = isFlag
-            ? { kind: core.PlaceKind.Flag, flag: definition.flag }
-            : { kind: core.PlaceKind.Variable, variable };
+        const place: core.FindingPlace = isFlag
+            ? { kind: core.FindingPlaceKind.Flag, flag: definition.flag }
+            : { kind: core.FindingPlaceKind.Variable, variable };
         const rawValue = flags[definition.flag] ?? variables[variable] ?? definition.default;
         if (rawValue === undefined) {
             findings.push(core.createFinding(core.messages.SettingMissing, place, definition.meaning));
--- a/packages/core/src/findings.ts
+++ b/packages/core/src/findings.ts
@@ -1,18 +1,18 @@
 import * as messages from "./messages.js";
 
 /** What a finding refers to: a flag, an environment variable, a position in a file, or a path that names part of an input. */
-export enum PlaceKind {
+export enum FindingPlaceKind {
     Flag = "Flag",
     Variable = "Variable",
     File = "File",
     Request = "Request",
 }
 
-export type Place =
-    | { readonly kind: PlaceKind.Flag; readonly flag: string }
-    | { readonly kind: PlaceKind.Variable; readonly variable: string }
-    | { readonly kind: PlaceKind.File; readonly file: string; readonly line: number; readonly column: number }
-    | { readonly kind: PlaceKind.Request; readonly path: string };
+export type FindingPlace =
+    | { readonly kind: FindingPlaceKind.Flag; readonly flag: string }
+    | { readonly kind: FindingPlaceKind.Variable; readonly variable: string }
+    | { readonly kind: FindingPlaceKind.File; readonly file: string; readonly line: number; readonly column: number }
+    | { readonly kind: FindingPlaceKind.Request; readonly path: string };
 
 /** Severity of a finding. Only errors stop a command. */
 export enum Severity {
@@ -24,7 +24,7 @@
 export interface Finding {
     readonly severity: Severity;
     readonly code: number;
-    readonly place: Place;
+    readonly place: FindingPlace;
     readonly text: string;
 }
 
@@ -33,11 +33,11 @@
     | { readonly ok: true; readonly value: T; readonly findings: readonly Finding[] }
     | { readonly ok: false; readonly findings: readonly Finding[] };
 
-export function createFinding(message: messages.Message, place: Place, ...values: readonly messages.Value[]): Finding {
+export function createFinding(message: messages.Message, place: FindingPlace, ...values: readonly messages.Value[]): Finding {
     return { severity: Severity.Error, code: message.code, place, text: messages.formatMessage(message, ...values) };
 }
 
-export function createWarning(message: messages.Message, place: Place, ...values: readonly messages.Value[]): Finding {
+export function createWarning(message: messages.Message, place: FindingPlace, ...values: readonly messages.Value[]): Finding {
     return { ...createFinding(message, place, ...values), severity: Severity.Warning };
 }
 
@@ -47,15 +47,15 @@
     return `${formatPlace(finding.place)} - ${severity} BD${finding.code}: ${finding.text}`;
 }
 
-export function formatPlace(place: Place): string {
+export function formatPlace(place: FindingPlace): string {
     switch (place.kind) {
-        case PlaceKind.Flag:
+        case FindingPlaceKind.Flag:
             return `--${place.flag}`;
-        case PlaceKind.Variable:
+        case FindingPlaceKind.Variable:
             return place.variable;
-        case PlaceKind.File:
+        case FindingPlaceKind.File:
             return `${place.file}:${place.line}:${place.column}`;
-        case PlaceKind.Request:
+        case FindingPlaceKind.Request:
             return place.path;
     }
 }
--- a/packages/core/src/types.ts
+++ b/packages/core/src/types.ts
@@ -40,7 +40,7 @@
 }
 
 /** Lifecycle state of an upstream or an instance. */
-export enum LifeState {
+export enum LifecycleState {
     Live = "Live",
     Leaving = "Leaving",
     Gone = "Gone",
@@ -59,7 +59,7 @@
 export interface InstanceDescription {
     readonly id: InstanceId;
     readonly dataCentre: DataCentre;
-    readonly state: LifeState;
+    readonly state: LifecycleState;
     /** Base URL of the caller endpoint. */
     readonly callerUrl: string;
     /** WebSocket URL of the peer endpoint. */
--- a/packages/daemon/src/composition.ts
+++ b/packages/daemon/src/composition.ts
@@ -29,12 +29,12 @@
     /** The platform's store, wrapped to count calls. */
     readonly store: gateway.MetadataStore;
     readonly view: gateway.FleetView;
-    readonly storeReturn: gateway.StoreReturn;
+    readonly storeReturn: gateway.StoreRecovery;
     readonly network: protocol.WebSocketPeerNetwork;
     readonly members: gateway.MemberDirectory;
-    readonly coordinators: gateway.HomeDirectory;
+    readonly coordinators: gateway.CoordinatorDirectory;
     readonly slots: gateway.SlotSharing;
-    readonly quotaOwners: gateway.QuotaKeepers;
+    readonly quotaOwners: gateway.QuotaOwners;
     readonly quotas: gateway.CustomerQuotas;
     readonly channels: gateway.ChannelDirectory;
     readonly crashWatch: gateway.CrashWatch;
@@ -67,13 +67,13 @@
         store: awilix.asFunction(createStore).singleton(),
         view: awilix.asFunction(createView).singleton(),
         storeReturn: awilix
-            .asFunction(({ view, clock, log }: Components) => new gateway.StoreReturn(view, clock, log))
+            .asFunction(({ view, clock, log }: Components) => new gateway.StoreRecovery(view, clock, log))
             .singleton(),
         coordinators: awilix
-            .asFunction(({ members, view, clock }: Components) => new gateway.HomeDirectory(members, view, clock))
+            .asFunction(({ members, view, clock }: Components) => new gateway.CoordinatorDirectory(members, view, clock))
             .singleton(),
         slots: awilix.asFunction(createSlots).singleton(),
-        quotaOwners: awilix.asFunction(({ members }: Components) => new gateway.QuotaKeepers(members)).singleton(),
+        quotaOwners: awilix.asFunction(({ members }: Components) => new gateway.QuotaOwners(members)).singleton(),
         quotas: awilix.asFunction(createQuotas).singleton(),
         channels: awilix.asFunction(({ clock }: Components) => new gateway.ChannelDirectory(clock)).singleton(),
         crashWatch: awilix
@@ -87,7 +87,7 @@
                 (components: Components) =>
                     new gateway.RequestForwarder({
                         ...pickSchedulerParts(components),
-                        crashes: components.crashWatch,
+                        crashWatch: components.crashWatch,
                         random: Math.random,
                     }),
             )
@@ -104,7 +104,7 @@
     disposables.use(components.submissions);
     disposables.use(components.server);
     disposables.use(components.registry);
-    components.registry.watchers.forEach(watcher => components.storeReturn.follow(watcher));
+    components.registry.watchers.forEach(watcher => components.storeReturn.addWatcher(watcher));
     return components;
 }
 
@@ -137,7 +137,7 @@
             kind: protocol.MessageKind.Heartbeat,
             ...gateway.describeRegistry(view, late.registry?.isWatching() === true, clock.now()),
             logicalTime: 0,
-            state: lifecycle.isStopping ? core.LifeState.Leaving : core.LifeState.Live,
+            state: lifecycle.isStopping ? core.LifecycleState.Leaving : core.LifecycleState.Live,
         }),
     });
     disposables.use(network);
@@ -157,7 +157,7 @@
         return [];
     }
     const hasLimits = components.view.getConfiguration()?.customers?.some(customer => customer.limit !== undefined);
-    return [...registry.duty.getWatchers(), ...(hasLimits === true ? components.quotaOwners.getAll() : [])];
+    return [...registry.assignment.getWatchers(), ...(hasLimits === true ? components.quotaOwners.getAll() : [])];
 }
 
 function createPlatformStore({ settings }: Components): platform.PlatformStore {
@@ -190,22 +190,22 @@
 function createView({ codec, log }: Components): gateway.FleetView {
     return new gateway.FleetView(codec, findings =>
         findings.forEach(finding =>
-            log.note(gateway.GatewayEvent.EntryUnusable, { text: core.formatFinding(finding) }),
+            log.recordEvent(gateway.GatewayEvent.EntryUnusable, { text: core.formatFinding(finding) }),
         ),
     );
 }
 
 function createSlots({ members, network, clock, coordinators, settings, log }: Components): gateway.SlotSharing {
     const self = members.self.id;
-    const slotTable = new decisions.SlotBoard(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
+    const slotTable = new decisions.SlotTable(Math.random, upstream => decisions.hashToUnit(`${self}/${upstream}`));
     const slots = new gateway.SlotSharing({
-        board: slotTable,
+        slotTable: slotTable,
         network,
         clock,
-        homes: coordinators,
+        coordinators: coordinators,
         dataCentre: settings.dataCentre,
         random: Math.random,
-        onHomeSilent: (coordinator, text) => log.note(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
+        onCoordinatorUnresponsive: (coordinator, text) => log.recordEvent(gateway.GatewayEvent.HomeSilent, { home: coordinator, text }),
     });
     members.onChange(removedMembers => slots.forget(removedMembers));
     return slots;
@@ -222,7 +222,7 @@
 }: Components): gateway.CustomerQuotas {
     const quotas = new gateway.CustomerQuotas({
         self: members.self.id,
-        keepers: quotaOwners,
+        owners: quotaOwners,
         network,
         getCustomers: () => view.getCustomers(),
         clock,
@@ -248,12 +248,12 @@
 function createSubmissions(components: Components): gateway.SubmissionService {
     const { store, members, registration, network, scheduler, clock, log, settings, slots } = components;
     slots.connect(
-        upstream => scheduler.yieldPlace(upstream),
+        upstream => scheduler.yieldSlot(upstream),
         () => scheduler.dispatch(),
     );
     return new gateway.SubmissionService({
         store,
-        submissions: new gateway.SubmissionStore(store),
+        submissionStore: new gateway.SubmissionStore(store),
         members,
         registration,
         network,
@@ -285,10 +285,10 @@
         members,
         network,
         registration,
-        onFleetEntries: entries => submissions.applyEndedMarks(entries),
+        onFleetEntries: entries => submissions.applyEndMarkers(entries),
         random: Math.random,
     });
-    log.metrics.observeGauge("boragedale_registry_age_seconds", {}, () => registry.getAge() / 1_000);
+    log.metrics.observeGauge("boragedale_registry_age_seconds", {}, () => registry.getAgeMilliseconds() / 1_000);
     return registry;
 }
 
--- a/packages/daemon/src/eventLog.ts
+++ b/packages/daemon/src/eventLog.ts
@@ -116,8 +116,8 @@
             milliseconds: Math.round(now - request.arrivedAt),
             firstMilliseconds: firstAt === undefined ? undefined : Math.round(firstAt - request.arrivedAt),
             sends: progress.sends,
-            online: progress.believed.online,
-            batch: progress.believed.batch,
+            online: progress.estimatedUse.online,
+            batch: progress.estimatedUse.batch,
         });
     }
 
@@ -157,7 +157,7 @@
         });
     }
 
-    override note(event: gateway.GatewayEvent, fields: gateway.LogFields): void {
+    override recordEvent(event: gateway.GatewayEvent, fields: gateway.LogFields): void {
         this.record(GatewayEvents[event], fields);
     }
 
--- a/packages/daemon/src/gatewayProcess.ts
+++ b/packages/daemon/src/gatewayProcess.ts
@@ -106,7 +106,7 @@
         boragedale_configuration_version: () => view.getConfiguration()?.version ?? 0,
         boragedale_store_revision: () => view.getRevision(),
         boragedale_members: () => members.getMembers().length,
-        boragedale_requests_in_progress: () => server.getInProgress(),
+        boragedale_requests_in_progress: () => server.getInProgressCount(),
         boragedale_submissions_owned: () => submissions.getOwnedCount(),
         boragedale_resident_bytes: () => process.memoryUsage.rss(),
     };
@@ -120,7 +120,7 @@
     const startedAt = clock.now();
     const latestExitAt = startedAt + settings.graceMilliseconds - StopMarginMilliseconds;
     components.lifecycle.isStopping = true;
-    log.record(telemetry.events.InstanceDraining, { inProgress: server.getInProgress() });
+    log.record(telemetry.events.InstanceDraining, { inProgress: server.getInProgressCount() });
     scheduler.stop();
     network.announceLeaving();
     void submissions.handOver();
@@ -130,7 +130,7 @@
         settings.balancerMilliseconds + Math.min(InTransitRequestMilliseconds, settings.balancerMilliseconds);
     while (
         clock.now() < latestExitAt &&
-        !(server.getInProgress() === 0 && clock.now() - startedAt > shortestMilliseconds)
+        !(server.getInProgressCount() === 0 && clock.now() - startedAt > shortestMilliseconds)
     ) {
         server.server.closeIdleConnections();
         await clock.sleep(StopPollMilliseconds);
@@ -138,5 +138,5 @@
     while (clock.now() < latestExitAt && submissions.getActiveCount() > 0) {
         await clock.sleep(StopPollMilliseconds);
     }
-    log.record(telemetry.events.InstanceStopped, { inProgress: server.getInProgress() });
+    log.record(telemetry.events.InstanceStopped, { inProgress: server.getInProgressCount() });
 }
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -41,7 +41,7 @@
 export function readSettings(environment: NodeJS.ProcessEnv): core.Checked<Settings> {
     const file = environment[SettingsVariable];
     if (file === undefined) {
-        const place = { kind: core.PlaceKind.Variable, variable: SettingsVariable } as const;
+        const place = { kind: core.FindingPlaceKind.Variable, variable: SettingsVariable } as const;
         return { ok: false, findings: [core.createFinding(core.messages.SettingMissing, place, "a settings file")] };
     }
     return readSettingsFile(file);
@@ -87,6 +87,6 @@
 }
 
 function createSettingFinding(file: string, name: string, text: string): core.Finding {
-    const place = { kind: core.PlaceKind.Request, path: name === "" ? file : `${file}: ${name}` } as const;
+    const place = { kind: core.FindingPlaceKind.Request, path: name === "" ? file : `${file}: ${name}` } as const;
     return core.createFinding(core.messages.SettingInvalid, place, name, text);
 }
--- a/packages/daemon/src/storageProcess.ts
+++ b/packages/daemon/src/storageProcess.ts
@@ -58,7 +58,7 @@
     clock: core.Clock,
     log: eventLog.EventLog,
 ): Promise<void> {
-    const put = codec.createRetirementDone(machine);
+    const put = codec.createRetirementConfirmation(machine);
     for (;;) {
         const result = await store.transact({ preconditions: [], puts: [put], deletes: [] });
         if (result.ok) {
--- a/packages/decisions/src/admissionQueue.ts
+++ b/packages/decisions/src/admissionQueue.ts
@@ -195,7 +195,7 @@
     }
 
     /** Time after which a refused or expired request should be retried, in milliseconds. */
-    getRetryAfter(): number {
+    getRetryAfterMilliseconds(): number {
         return this.addJitter(this.estimateMilliseconds(this.waitingCost / 2));
     }
 
--- a/packages/decisions/src/batchGate.ts
+++ b/packages/decisions/src/batchGate.ts
@@ -129,7 +129,7 @@
      * Sets how many instances may consider themselves the coordinator: 2 while a lagging instance list moves the
      * assignment. Each of them then uses half of the slots, so that together they hold no more than one would.
      */
-    setHomes(count: number): void {
+    setCoordinatorCount(count: number): void {
         this.coordinatorCount = Math.max(1, count);
     }
 
--- a/packages/decisions/src/batchGrants.ts
+++ b/packages/decisions/src/batchGrants.ts
@@ -44,7 +44,7 @@
      * Removes the requester's oldest grant for the upstream: its own notification has arrived, so that the slot table
      * includes the item from now on.
      */
-    settle(requester: core.InstanceId, upstream: core.UpstreamId): void {
+    confirm(requester: core.InstanceId, upstream: core.UpstreamId): void {
         const pending = this.grants.get(upstream);
         const index = pending?.findIndex(grant => grant.requester === requester) ?? -1;
         if (index >= 0) {
--- a/packages/decisions/src/batchOrder.ts
+++ b/packages/decisions/src/batchOrder.ts
@@ -73,7 +73,7 @@
     }
 
     /** Corrects the work of an item that ended with a different cost than expected. */
-    settle(caller: core.CallerId, weight: number, expectedCost: number, actualCost: number): void {
+    correctCost(caller: core.CallerId, weight: number, expectedCost: number, actualCost: number): void {
         const queue = this.callers.get(caller);
         if (queue !== undefined) {
             queue.servedWork += (actualCost - expectedCost) / weight;
--- a/packages/decisions/src/failureWatch.ts
+++ b/packages/decisions/src/failureWatch.ts
@@ -40,7 +40,7 @@
      * Records the outcome of a request. Returns the time until which the upstream is to be avoided if this outcome
      * causes it to be avoided; `upstreamCount` is the number of upstreams of the service.
      */
-    noteEnd(
+    recordOutcome(
         upstream: core.UpstreamId,
         isFailure: boolean,
         upstreamCount: number,
--- a/packages/decisions/src/homeOrder.ts
+++ b/packages/decisions/src/homeOrder.ts
@@ -41,22 +41,22 @@
  * coordinators would be asked over and over, and requests would wait for coordinators that don't answer; each such
  * attempt costs the request a round trip.
  */
-export class HomeOrder {
+export class CoordinatorOrder {
     private readonly hints = new Map<core.InstanceId, FreeSlotHint>();
     private readonly skippedUntil = new Map<core.InstanceId, core.MonotonicMilliseconds>();
 
     constructor(private readonly random: () => number) {}
 
-    noteFree(coordinator: core.InstanceId, free: number, now: core.MonotonicMilliseconds): void {
+    recordFreeSlots(coordinator: core.InstanceId, free: number, now: core.MonotonicMilliseconds): void {
         this.hints.set(coordinator, { free, at: now });
         this.skippedUntil.delete(coordinator);
     }
 
-    noteSilent(coordinator: core.InstanceId, now: core.MonotonicMilliseconds): void {
+    recordNoAnswer(coordinator: core.InstanceId, now: core.MonotonicMilliseconds): void {
         this.skippedUntil.set(coordinator, now + NoAnswerMilliseconds);
     }
 
-    forget(coordinator: core.InstanceId): void {
+    remove(coordinator: core.InstanceId): void {
         this.hints.delete(coordinator);
         this.skippedUntil.delete(coordinator);
     }
--- a/packages/decisions/src/homes.ts
+++ b/packages/decisions/src/homes.ts
@@ -23,7 +23,7 @@
  * which takes seconds, some upstreams have two coordinators. Both grant slots, which causes a queue of one or two
  * requests.
  */
-export function assignHomes(
+export function assignCoordinators(
     upstreams: readonly LocatedMember[],
     instances: readonly LocatedMember[],
 ): Map<core.UpstreamId, core.InstanceId> {
--- a/packages/decisions/src/itemOrder.ts
+++ b/packages/decisions/src/itemOrder.ts
@@ -1,5 +1,5 @@
 /** What determines when a batch item gets a slot. */
-export interface ItemOutlook {
+export interface ItemEstimate {
     /** Time until its result is due, in milliseconds; negative once it is late. */
     readonly dueInMilliseconds: number;
     /** Estimated time for which it still needs a slot, in milliseconds; 0 if nothing is known. */
@@ -22,7 +22,7 @@
  * it still runs, because its result is wanted. Among those that can, the earliest due goes first, and within one
  * submission the item with the most progress, whose slot is free again soonest.
  */
-export function compareItems(left: ItemOutlook, right: ItemOutlook): number {
+export function compareItems(left: ItemEstimate, right: ItemEstimate): number {
     const isLeftLate = willBeLate(left);
     const isRightLate = willBeLate(right);
     if (isLeftLate !== isRightLate) {
@@ -31,7 +31,7 @@
     return left.dueInMilliseconds - right.dueInMilliseconds || right.eventsSoFar - left.eventsSoFar;
 }
 
-function willBeLate(item: ItemOutlook): boolean {
+function willBeLate(item: ItemEstimate): boolean {
     return item.remainingMilliseconds * OptimisticFraction > item.dueInMilliseconds;
 }
 
@@ -39,7 +39,7 @@
 const MeanWeight = 0.05;
 
 /** Estimates how long items run. Items state only the maximum that they may produce, not what they will produce. */
-export class ItemLength {
+export class ItemDurationEstimator {
     private meanEvents: number | undefined;
     private meanEventMilliseconds: number | undefined;
 
--- a/packages/decisions/src/onlineAdmission.ts
+++ b/packages/decisions/src/onlineAdmission.ts
@@ -32,7 +32,7 @@
  * grow until every answer is late and the callers have left, whereas a request that is refused at once finds a slot
  * later. No request is refused while a slot is free.
  */
-export function judgeOnline(queue: QueueEstimate, random: () => number): OnlineAdmissionDecision {
+export function decideOnlineAdmission(queue: QueueEstimate, random: () => number): OnlineAdmissionDecision {
     if (queue.waiting <= 0) {
         return { isAdmitted: true };
     }
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -78,7 +78,7 @@
      * Sets how many instances send to each upstream: the number of instances times the fraction of the upstreams that
      * each of them uses.
      */
-    setSharing(instances: number): void {
+    setSharingInstanceCount(instances: number): void {
         this.sharingInstanceCount = Math.max(1, instances);
     }
 
@@ -126,7 +126,7 @@
      * Whether an upstream that is likely to have the request's prefix cached has a free slot. Used to choose among
      * waiting requests: see `AdmissionQueue.take`.
      */
-    isLocal(
+    hasPrefixReplicaAvailable(
         request: types.PlacementRequest,
         candidates: readonly types.PlacementCandidate[],
         now: core.MonotonicMilliseconds,
--- a/packages/decisions/src/retryRule.ts
+++ b/packages/decisions/src/retryRule.ts
@@ -33,7 +33,7 @@
  * Upstreams may crash, leave, be full, or lose answers. Retrying freely would run a request twice that may run only
  * once, and would spread a request that crashes upstreams to all of them.
  */
-export function mayRepeat(state: RetryState): boolean {
+export function mayRetry(state: RetryState): boolean {
     if (state.sends >= MaximumSends || state.remainingMilliseconds < MinimumRemainingMilliseconds) {
         return false;
     }
--- a/packages/decisions/src/slotTable.ts
+++ b/packages/decisions/src/slotTable.ts
@@ -42,7 +42,7 @@
  * Online bursts arrive at one or several instances while batch work fills the idle slots. Without the table, a request
  * could queue behind batch work or behind a peer's burst on one engine while another engine is idle.
  */
-export class SlotBoard {
+export class SlotTable {
     private readonly uses = new Map<core.UpstreamId, UpstreamUse>();
 
     /** `preference` is this instance's own fixed order of upstreams; each has a value from 0 (first) to 1. */
--- a/packages/decisions/src/suspects.ts
+++ b/packages/decisions/src/suspects.ts
@@ -72,7 +72,7 @@
     constructor(private readonly deathsToQuarantine = DefaultDeathsToQuarantine) {}
 
     /** Decides how a request with this fingerprint may run. */
-    judge(fingerprint: string, now: core.MonotonicMilliseconds): SuspectDecision {
+    getDecision(fingerprint: string, now: core.MonotonicMilliseconds): SuspectDecision {
         const suspect = this.tryGetSuspect(fingerprint, now);
         const deaths = suspect === undefined ? 0 : countDeaths(suspect);
         if (suspect === undefined || deaths === 0) {
@@ -90,7 +90,7 @@
      * without another suspect and must not run on two upstreams.
      */
     maySend(fingerprint: string, upstream: core.UpstreamId, now: core.MonotonicMilliseconds): boolean {
-        switch (this.judge(fingerprint, now).verdict) {
+        switch (this.getDecision(fingerprint, now).verdict) {
             case SuspectVerdict.Usual:
                 return true;
             case SuspectVerdict.Quarantined:
@@ -107,7 +107,7 @@
             this.inFlight.set(upstream, requests);
         }
         requests.set(id, { fingerprint, sentAt: now });
-        if (this.judge(fingerprint, now).verdict !== SuspectVerdict.Usual) {
+        if (this.getDecision(fingerprint, now).verdict !== SuspectVerdict.Usual) {
             this.runningAlone.set(fingerprint, upstream);
         }
     }
--- a/packages/entry/src/callerEndpoint/routeContext.ts
+++ b/packages/entry/src/callerEndpoint/routeContext.ts
@@ -9,7 +9,7 @@
 export interface RouteContext {
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
-    readonly keeper: release.NoteKeeper;
+    readonly keeper: release.NoteCache;
     readonly dispatcher: dispatch.Dispatcher;
     readonly ledger: work.CallLedger;
     readonly jobs: work.JobStore;
--- a/packages/entry/src/callerEndpoint/server.ts
+++ b/packages/entry/src/callerEndpoint/server.ts
@@ -18,7 +18,7 @@
 export interface CallerEndpointOptions {
     readonly clock: core.Clock;
     readonly telemetry: telemetry.Telemetry;
-    readonly keeper: release.NoteKeeper;
+    readonly keeper: release.NoteCache;
     readonly dispatcher: dispatch.Dispatcher;
     readonly ledger: work.CallLedger;
     readonly jobs: work.JobStore;
--- a/packages/entry/src/composition.ts
+++ b/packages/entry/src/composition.ts
@@ -23,7 +23,7 @@
     readonly instanceList: backing.InstanceList;
     readonly membership: membership.FleetMembership;
     readonly network: protocol.WebSocketPeerNetwork;
-    readonly keeper: release.NoteKeeper;
+    readonly keeper: release.NoteCache;
     readonly publisher: release.NotePublisher;
     readonly ledger: work.CallLedger;
     readonly jobs: work.JobStore;
@@ -61,7 +61,7 @@
 /** Parts that the peer network uses although they start after it, since they need its port. */
 interface LateParts {
     membership?: membership.FleetMembership;
-    keeper?: release.NoteKeeper;
+    keeper?: release.NoteCache;
 }
 
 /** Starts the parts in the order of their dependencies. `owned` disposes them in reverse order. */
@@ -109,7 +109,7 @@
     return {
         id: given.instance,
         dataCentre: given.dataCentre,
-        state: core.LifeState.Live,
+        state: core.LifecycleState.Live,
         callerUrl: `http://${host}:${ports.caller}`,
         operatorUrl: `http://${host}:${ports.operator}`,
         peerUrl: `ws://${host}:${peerPort}`,
@@ -131,7 +131,7 @@
             kind: protocol.MessageKind.Heartbeat,
             generation: late.keeper?.tryGetNote()?.generation ?? 0,
             logicalTime: events.timeLine.getLogicalTime(),
-            state: late.membership?.getState() ?? core.LifeState.Live,
+            state: late.membership?.getState() ?? core.LifecycleState.Live,
         }),
         onUnreachable: peer => late.membership?.recordUnreachable(peer),
     });
@@ -149,8 +149,8 @@
     return owned.use(await backing.Spool.open({ folder, maximumBytes: SpoolLimitBytes }));
 }
 
-async function startKeeper(parts: Parts): Promise<release.KeyValueNoteKeeper> {
-    return release.KeyValueNoteKeeper.start({
+async function startKeeper(parts: Parts): Promise<release.KeyValueNoteCache> {
+    return release.KeyValueNoteCache.start({
         keyValue: parts.keyValue,
         network: parts.network,
         heartbeats: parts.membership,
@@ -195,7 +195,7 @@
 
 function countHeldShards(fleet: membership.FleetMembership): number {
     const shards = Array.from({ length: work.DefaultLedgerShards }, (unused, shard) => shard);
-    return shards.filter(shard => fleet.tryGetHolder(work.getLedgerDuty(shard)) === fleet.getSelf()).length;
+    return shards.filter(shard => fleet.tryGetHolder(work.getLedgerAssignment(shard)) === fleet.getSelf()).length;
 }
 
 function createInstanceList(parts: Parts): backing.InstanceList {
@@ -285,5 +285,5 @@
         return client;
     };
     const { membership: fleet, keeper, keyValue } = parts;
-    return new release.UpstreamRollout({ membership: fleet, keeper, getEngine, keyValue, clock, telemetry: events });
+    return new release.UpstreamRollout({ membership: fleet, noteCache: keeper, getEngine, keyValue, clock, telemetry: events });
 }
--- a/packages/entry/src/dispatch/admissionController.ts
+++ b/packages/entry/src/dispatch/admissionController.ts
@@ -66,7 +66,7 @@
             };
             const cancel = (): void => {
                 if (state.queue.cancel(waiter, request.caller)) {
-                    waiter.settle(core.createFailure(createOverloaded(state.queue.getRetryAfter())));
+                    waiter.settle(core.createFailure(createOverloaded(state.queue.getRetryAfterMilliseconds())));
                 }
             };
             const decision = state.queue.offer({ ...request, value: waiter }, this.options.clock.now());
@@ -134,7 +134,7 @@
             item.value.settle(core.createSuccess(this.createTicket(state, item.cost)));
         }
         for (const item of state.queue.expire(now)) {
-            item.value.settle(core.createFailure(createOverloaded(state.queue.getRetryAfter())));
+            item.value.settle(core.createFailure(createOverloaded(state.queue.getRetryAfterMilliseconds())));
         }
     }
 
--- a/packages/entry/src/dispatch/batchLanes.ts
+++ b/packages/entry/src/dispatch/batchLanes.ts
@@ -123,7 +123,7 @@
         const now = this.options.clock.now();
         const policy = this.options.directory.tryGetFleet()?.policy;
         state.gate.configure(engine.concurrency, policy?.batchWeight ?? 0);
-        state.gate.setHomes(now - state.coordinatedSince < HandOverMilliseconds ? 2 : 1);
+        state.gate.setCoordinatorCount(now - state.coordinatedSince < HandOverMilliseconds ? 2 : 1);
         state.gate.setInstances(this.options.membership.getLiveInstances().map(instance => instance.id));
         const decision = state.gate.decide(now);
         this.cancel(engine.id, state, decision.streamsToCancel);
--- a/packages/entry/src/dispatch/completionRunner.ts
+++ b/packages/entry/src/dispatch/completionRunner.ts
@@ -222,7 +222,7 @@
 
     private tryGetQuarantine(run: Run): core.Refusal | undefined {
         const { registry } = this.options.suspects;
-        const decision = registry.judge(run.profile.fingerprint, this.options.clock.now());
+        const decision = registry.getDecision(run.profile.fingerprint, this.options.clock.now());
         if (decision.verdict !== decisions.SuspectVerdict.Quarantined) {
             return undefined;
         }
--- a/packages/entry/src/dispatch/engineChooser.ts
+++ b/packages/entry/src/dispatch/engineChooser.ts
@@ -33,7 +33,7 @@
 
     choose(requirements: EngineRequirements): EngineChoice {
         const candidates = this.listCandidates(requirements);
-        this.options.placement.setSharing(this.options.table.getInstancesPerEngine(requirements.base));
+        this.options.placement.setSharingInstanceCount(this.options.table.getInstancesPerEngine(requirements.base));
         const choice = this.isSuspect(requirements)
             ? this.chooseForSuspect(requirements, candidates)
             : this.chooseAmong(requirements, candidates, requirements.excluded);
@@ -47,14 +47,14 @@
     /** Number of online requests for a model that this instance may have in flight now. */
     getOnlineLimit(base: core.ModelId): number {
         const engines = this.options.table.listOnline(base);
-        this.options.placement.setSharing(this.options.table.getInstancesPerEngine(base));
+        this.options.placement.setSharingInstanceCount(this.options.table.getInstancesPerEngine(base));
         return this.options.placement.getCapacity(base, core.RequestClass.Online, engines, this.options.clock.now());
     }
 
     /** Whether the engine that is preferred for the request's prefix has a free slot. */
     isLocal(requirements: EngineRequirements): boolean {
         const engines = this.options.table.listOnline(requirements.base);
-        return this.options.placement.isLocal(createPlacementRequest(requirements), engines, this.options.clock.now());
+        return this.options.placement.hasPrefixReplicaAvailable(createPlacementRequest(requirements), engines, this.options.clock.now());
     }
 
     private listCandidates(requirements: EngineRequirements): readonly core.UpstreamDescription[] {
@@ -65,7 +65,7 @@
 
     private isSuspect(requirements: EngineRequirements): boolean {
         const { registry } = this.options.suspects;
-        const { verdict } = registry.judge(requirements.profile.fingerprint, this.options.clock.now());
+        const { verdict } = registry.getDecision(requirements.profile.fingerprint, this.options.clock.now());
         return verdict !== decisions.SuspectVerdict.Usual;
     }
 
--- a/packages/entry/src/dispatch/upstreamDirectory.ts
+++ b/packages/entry/src/dispatch/upstreamDirectory.ts
@@ -3,7 +3,7 @@
 import type * as upstreams from "@boragedale/upstreams";
 
 export interface UpstreamDirectoryOptions {
-    readonly notes: release.NoteKeeper;
+    readonly notes: release.NoteCache;
     readonly createEngineClient: (
         upstream: core.UpstreamDescription,
         requestClass: core.RequestClass,
--- a/packages/entry/src/membership/fleetMembership.ts
+++ b/packages/entry/src/membership/fleetMembership.ts
@@ -50,7 +50,7 @@
     private readonly changeListeners = new Set<() => void>();
     private readonly heartbeatListeners = new Set<(from: core.InstanceId, heartbeat: protocol.Heartbeat) => void>();
     private readonly stopController = new AbortController();
-    private state = core.LifeState.Live;
+    private state = core.LifecycleState.Live;
     private live: readonly core.InstanceDescription[];
     private task: Promise<void> = Promise.resolve();
 
@@ -96,7 +96,7 @@
         return decisions.rendezvous(assignment, getIds(near.length > 0 ? near : this.live));
     }
 
-    override isGone(instance: core.InstanceId): boolean {
+    override isRemoved(instance: core.InstanceId): boolean {
         if (instance === this.options.self.id) {
             return false;
         }
@@ -121,13 +121,13 @@
     }
 
     /** The state that this instance sends in its heartbeats. */
-    getState(): core.LifeState {
+    getState(): core.LifecycleState {
         return this.state;
     }
 
     /** Marks this instance as leaving. It no longer gets assignments. */
     leave(): void {
-        this.state = core.LifeState.Leaving;
+        this.state = core.LifecycleState.Leaving;
         this.refresh();
     }
 
@@ -215,7 +215,7 @@
     private canDelete(peer: core.InstanceId): boolean {
         const record = this.peers.get(peer);
         const now = this.options.clock.now();
-        return this.isGone(peer) && record !== undefined && now - record.listingChangedAt > 10 * RemovalMilliseconds;
+        return this.isRemoved(peer) && record !== undefined && now - record.listingChangedAt > 10 * RemovalMilliseconds;
     }
 
     private recordHeartbeat(from: core.InstanceId, heartbeat: protocol.Heartbeat): void {
@@ -223,7 +223,7 @@
         if (record !== undefined) {
             record.lastHeartbeatAt = this.options.clock.now();
             record.unreachableAt = undefined;
-            record.isLeaving = record.isLeaving || heartbeat.state !== core.LifeState.Live;
+            record.isLeaving = record.isLeaving || heartbeat.state !== core.LifecycleState.Live;
             record.generation = Math.max(record.generation, heartbeat.generation);
             this.refresh();
         }
@@ -244,7 +244,7 @@
     private refresh(): void {
         const now = this.options.clock.now();
         const peers = [...this.peers.values()].filter(record => isLive(record, now)).map(record => record.description);
-        const self = this.state === core.LifeState.Live ? [this.options.self] : [];
+        const self = this.state === core.LifecycleState.Live ? [this.options.self] : [];
         const live = [...self, ...peers].sort((left, right) => (left.id < right.id ? -1 : 1));
         const hasChanged = getIds(live).join() !== getIds(this.live).join();
         this.live = live;
@@ -258,7 +258,7 @@
 
 function isLive(record: PeerRecord, now: core.MonotonicMilliseconds): boolean {
     const isSuspect = record.unreachableAt !== undefined && now - record.unreachableAt <= SuspectMilliseconds;
-    return record.isListed && record.description.state === core.LifeState.Live && !record.isLeaving && !isSuspect;
+    return record.isListed && record.description.state === core.LifecycleState.Live && !record.isLeaving && !isSuspect;
 }
 
 function getIds(instances: readonly core.InstanceDescription[]): readonly core.InstanceId[] {
--- a/packages/entry/src/operatorEndpoint/server.ts
+++ b/packages/entry/src/operatorEndpoint/server.ts
@@ -12,7 +12,7 @@
     readonly instance: core.InstanceDescription;
     readonly operatorToken: string;
     readonly telemetry: telemetry.Telemetry;
-    readonly keeper: release.NoteKeeper;
+    readonly keeper: release.NoteCache;
     readonly publisher: release.NotePublisher;
     readonly rollout: release.Rollout;
     readonly membership: protocol.Membership;
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -144,7 +144,7 @@
 
 interface GivenValue {
     readonly value: string | undefined;
-    readonly place: core.Place;
+    readonly place: core.FindingPlace;
 }
 
 function getGivenValue(
@@ -155,13 +155,13 @@
     const variable = getVariableName(definition.flag);
     const fromFlag = flags[definition.flag];
     if (fromFlag !== undefined) {
-        return { value: String(fromFlag), place: { kind: core.PlaceKind.Flag, flag: definition.flag } };
+        return { value: String(fromFlag), place: { kind: core.FindingPlaceKind.Flag, flag: definition.flag } };
     }
     const fromVariable = variables[variable];
     if (fromVariable !== undefined) {
-        return { value: fromVariable, place: { kind: core.PlaceKind.Variable, variable } };
+        return { value: fromVariable, place: { kind: core.FindingPlaceKind.Variable, variable } };
     }
-    return { value: definition.default, place: { kind: core.PlaceKind.Flag, flag: definition.flag } };
+    return { value: definition.default, place: { kind: core.FindingPlaceKind.Flag, flag: definition.flag } };
 }
 
 /**
@@ -177,5 +177,5 @@
     ]);
     return Object.keys(variables)
         .filter(variable => variable.startsWith("BORAGEDALE_") && !known.has(variable))
-        .map(variable => core.createFinding(core.messages.SettingUnknown, { kind: core.PlaceKind.Variable, variable }));
+        .map(variable => core.createFinding(core.messages.SettingUnknown, { kind: core.FindingPlaceKind.Variable, variable }));
 }
--- a/packages/gateway/src/callerServer.ts
+++ b/packages/gateway/src/callerServer.ts
@@ -70,7 +70,7 @@
         });
     }
 
-    getInProgress(): number {
+    getInProgressCount(): number {
         return this.inProgress;
     }
 
@@ -108,7 +108,7 @@
         this.appliedVersion = configuration.version;
         this.server.headersTimeout = configuration.limits.headerTimeoutMilliseconds;
         this.server.keepAliveTimeout = configuration.limits.idleTimeoutMilliseconds;
-        this.parts.log.note(gatewayLog.GatewayEvent.ConfigurationTaken, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.ConfigurationTaken, {
             version: configuration.version,
             routes: configuration.routes.length,
         });
@@ -124,7 +124,7 @@
             await this.handleRequest(request, response);
         }
         catch (error) {
-            this.parts.log.note(gatewayLog.GatewayEvent.Defect, { text: String(error) });
+            this.parts.log.recordEvent(gatewayLog.GatewayEvent.Defect, { text: String(error) });
             response.destroy();
         }
         finally {
@@ -162,7 +162,7 @@
         }
         const route = routes.tryFind(raw.host, raw.target);
         if (route === undefined) {
-            this.parts.log.note(gatewayLog.GatewayEvent.RequestUnroutable, {
+            this.parts.log.recordEvent(gatewayLog.GatewayEvent.RequestUnroutable, {
                 target: raw.target,
                 version: configuration.version,
             });
@@ -206,12 +206,12 @@
 
     private refundQuota(quota: customerQuotas.QuotaDecision | undefined): void {
         if (quota !== undefined) {
-            this.parts.quotas.giveBack(quota);
+            this.parts.quotas.refund(quota);
         }
     }
 
     private logUnauthorized(request: string, identity: customers.Identity): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.RequestUnauthorized, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.RequestUnauthorized, {
             request,
             text: identity.kind,
             version: this.parts.view.getConfiguration()?.version,
@@ -226,7 +226,7 @@
         const { customer, decider, keeper, retryAfterMilliseconds } = quota;
         const milliseconds = Math.round(retryAfterMilliseconds);
         const fields = { request: head.attemptId, customer, decider, keeper, milliseconds };
-        this.parts.log.note(gatewayLog.GatewayEvent.QuotaExceeded, fields);
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.QuotaExceeded, fields);
         const refusal = { reason: types.RefusalReason.QuotaExceeded, retryAfterMilliseconds };
         requestForwarder.sendRefusal(this.parts.wire, response, refusal);
     }
@@ -296,7 +296,7 @@
         const { raw, head, body, arrivedAt, customer } = received;
         const decoded = this.parts.wire.decodeSubmission(body);
         if (!decoded.ok || head.attemptId === "") {
-            this.parts.log.note(gatewayLog.GatewayEvent.SubmissionRefused, {
+            this.parts.log.recordEvent(gatewayLog.GatewayEvent.SubmissionRefused, {
                 submission: head.attemptId,
                 text: decoded.ok ? "no id" : decoded.text,
             });
--- a/packages/gateway/src/catchUpPolicy.ts
+++ b/packages/gateway/src/catchUpPolicy.ts
@@ -37,7 +37,7 @@
 
     constructor(
         private readonly view: fleetView.FleetView,
-        private readonly assignment: watchAssignment.WatchDuty,
+        private readonly assignment: watchAssignment.WatchAssignment,
     ) {}
 
     /**
--- a/packages/gateway/src/channelDirectory.ts
+++ b/packages/gateway/src/channelDirectory.ts
@@ -43,12 +43,12 @@
             known.lastUsed = now;
             return known.channel;
         }
-        known?.channel.renew();
+        known?.channel.replaceConnections();
         this.closeUnused(now);
         const channel = new upstreamExchange.UpstreamChannel({
             address: upstream.address,
             connectTimeoutMilliseconds: ConnectTimeoutMilliseconds,
-            connections: ConnectionsPerUpstream,
+            maximumConnections: ConnectionsPerUpstream,
         });
         this.channels.set(upstream.id, { channel, identity, lastUsed: now });
         return channel;
@@ -69,7 +69,7 @@
         for (const [id, known] of this.channels) {
             if (now - known.lastUsed > UnusedChannelMilliseconds) {
                 this.channels.delete(id);
-                known.channel.renew();
+                known.channel.replaceConnections();
             }
         }
     }
--- a/packages/gateway/src/crashWatch.ts
+++ b/packages/gateway/src/crashWatch.ts
@@ -50,7 +50,7 @@
             return;
         }
         const reports = this.suspects.onUpstreamDied(upstream.id, this.clock.now());
-        this.log.note(gatewayLog.GatewayEvent.UpstreamDied, { upstream: upstream.id, suspects: reports.length });
+        this.log.recordEvent(gatewayLog.GatewayEvent.UpstreamDied, { upstream: upstream.id, suspects: reports.length });
         for (const { fingerprint, deathsByUpstream } of reports) {
             const deaths = Object.values(deathsByUpstream).reduce((sum, count) => sum + count, 0);
             const kind = protocol.MessageKind.SuspectReport;
--- a/packages/gateway/src/customerQuotas.ts
+++ b/packages/gateway/src/customerQuotas.ts
@@ -21,7 +21,7 @@
 
 export interface CustomerQuotasParts {
     readonly self: core.InstanceId;
-    readonly keepers: quotaOwners.QuotaKeepers;
+    readonly owners: quotaOwners.QuotaOwners;
     readonly network: protocol.PeerNetwork;
     /** Undefined if no customers are configured. */
     readonly getCustomers: () => customers.CustomerDirectory | undefined;
@@ -99,7 +99,7 @@
     }
 
     /** Returns the quota of a granted request that no upstream ran. */
-    giveBack(decision: QuotaDecision): void {
+    refund(decision: QuotaDecision): void {
         const { customer, keeper: owner } = decision;
         if (!decision.isGranted || owner === undefined) {
             return;
@@ -147,7 +147,7 @@
     private async claimFromOwner(customer: string, limit: customers.RateLimit): Promise<QuotaDecision | undefined> {
         const decider = QuotaDecider.Keeper;
         const { unresponsive } = this.reach.get(false);
-        for (const owner of this.parts.keepers.rank(customer, unresponsive)) {
+        for (const owner of this.parts.owners.rank(customer, unresponsive)) {
             const now = this.parts.clock.now();
             if (now < (this.disconnectedUntil.get(owner) ?? 0)) {
                 continue;
@@ -173,7 +173,7 @@
     }
 
     private claimFromFallback(customer: string, limit: customers.RateLimit): QuotaDecision {
-        const { clock, keepers: owners } = this.parts;
+        const { clock, owners: owners } = this.parts;
         const now = clock.now();
         const { unresponsive } = this.reach.get(false);
         const haveAllDisconnected = owners
--- a/packages/gateway/src/fleetRegistry.ts
+++ b/packages/gateway/src/fleetRegistry.ts
@@ -58,7 +58,7 @@
  */
 export class FleetRegistry implements AsyncDisposable {
     readonly watchers: readonly storeWatcher.StoreWatcher[];
-    readonly duty: watchAssignment.WatchDuty;
+    readonly assignment: watchAssignment.WatchAssignment;
     private readonly relay: registryRelay.RegistryRelay;
     private readonly fleetWatcher: storeWatcher.StoreWatcher;
     private readonly configurationRefresh: configurationRefresh.ConfigurationRefresh;
@@ -67,12 +67,12 @@
 
     constructor(private readonly parts: FleetRegistryParts) {
         const { codec, view, members, network, clock, log } = parts;
-        this.duty = new watchAssignment.WatchDuty(members, view, clock.now(), parts.random);
+        this.assignment = new watchAssignment.WatchAssignment(members, view, clock.now(), parts.random);
         this.relay = new registryRelay.RegistryRelay({
             view,
             network,
             clock,
-            duty: this.duty,
+            assignment: this.assignment,
             isWatching: () => this.isWatching(),
             apply: entries => void this.apply(entries),
             log,
@@ -105,8 +105,8 @@
      * Maximum age of this member's copy: 0 while this member watches, otherwise the time since the last heartbeat of a
      * watching member.
      */
-    getAge(): number {
-        return this.isWatching() ? 0 : this.duty.getMillisecondsSinceHeartbeat(this.parts.clock.now());
+    getAgeMilliseconds(): number {
+        return this.isWatching() ? 0 : this.assignment.getMillisecondsSinceHeartbeat(this.parts.clock.now());
     }
 
     /** Checks the store for a later configuration, at a limited rate. */
@@ -120,7 +120,7 @@
         const { signal } = this.stopper;
         this.watchers.forEach(watcher => void watcher.run());
         await this.whenListed;
-        if (members.countOtherInstances() === 0 || this.duty.isLargeFleet()) {
+        if (members.countOtherInstances() === 0 || this.assignment.isLargeFleet()) {
             await clock.sleep(LargeFleetGatherMilliseconds, signal);
             this.fleetWatcher.setActive(true);
             await clock.sleep(StartupDelayMilliseconds - LargeFleetGatherMilliseconds, signal);
@@ -137,14 +137,14 @@
     }
 
     private updateAssignment(): void {
-        const reason = this.duty.decide(this.parts.clock.now());
+        const reason = this.assignment.decide(this.parts.clock.now());
         if (reason === this.reason) {
             return;
         }
         const from = this.reason ?? "";
-        const unheard = this.duty.getMillisecondsSinceHeartbeat(this.parts.clock.now());
+        const unheard = this.assignment.getMillisecondsSinceHeartbeat(this.parts.clock.now());
         this.reason = reason;
-        this.parts.log.note(gatewayLog.GatewayEvent.WatchDutyChanged, { from, to: reason, unheard });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.WatchDutyChanged, { from, to: reason, unheard });
         this.watchers.forEach(watcher => watcher.setActive(reason !== watchAssignment.WatchReason.Following));
     }
 
@@ -166,7 +166,7 @@
     }
 
     private getShortestGatherMilliseconds(prefix: string): number {
-        return prefix === memberDirectory.FleetPrefix && this.duty.isLargeFleet() ? LargeFleetGatherMilliseconds : 0;
+        return prefix === memberDirectory.FleetPrefix && this.assignment.isLargeFleet() ? LargeFleetGatherMilliseconds : 0;
     }
 
     private apply(entries: readonly types.StoreEntry[]): void {
--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -111,7 +111,7 @@
      * Whether a request's credentials are forwarded to the upstream. If customers are or were configured, the
      * credentials are meant for the gateway only.
      */
-    passesCredentials(customer: string | undefined): boolean {
+    forwardsCredentials(customer: string | undefined): boolean {
         return customer === undefined && this.customers === undefined;
     }
 
@@ -155,7 +155,7 @@
     }
 
     /** Records that a peer with a complete copy has sent all its entries. */
-    noteWhole(): void {
+    noteComplete(): void {
         this.hasCompletePeerCopy = true;
     }
 
--- a/packages/gateway/src/gatewayLog.ts
+++ b/packages/gateway/src/gatewayLog.ts
@@ -14,7 +14,7 @@
     readonly sends: number;
     readonly delivery: { readonly firstByteAt: number | undefined };
     /** Estimated number of requests at the upstream at the time it was chosen. */
-    readonly believed: { readonly online: number; readonly batch: number };
+    readonly estimatedUse: { readonly online: number; readonly batch: number };
 }
 
 /** Fields of a log line, other than the event's number and name. */
@@ -37,7 +37,7 @@
         isRepeated: boolean,
     ): void;
     /** Logs any other event. */
-    abstract note(event: GatewayEvent, fields: LogFields): void;
+    abstract recordEvent(event: GatewayEvent, fields: LogFields): void;
 }
 
 /** Events of the gateway other than those of a request. Their numbers are in the telemetry catalogue. */
--- a/packages/gateway/src/homeDirectory.ts
+++ b/packages/gateway/src/homeDirectory.ts
@@ -25,7 +25,7 @@
 }
 
 /** Determines which member coordinates which engine. The coordinator decides who may use the engine's slots. */
-export class HomeDirectory {
+export class CoordinatorDirectory {
     /** Computed on first use after a change. */
     private coordinators: ReadonlyMap<core.UpstreamId, core.InstanceId> | undefined;
     private readonly enginesByCoordinator = new Map<core.InstanceId, core.UpstreamId[]>();
@@ -42,7 +42,7 @@
     /**
      * Whether coordinators grant slots, because the fleet is too large for every member to know the use of every slot.
      */
-    isLending(): boolean {
+    areSlotsGranted(): boolean {
         return this.members.getOthers().length > NeighbourCount;
     }
 
@@ -94,7 +94,7 @@
         for (const { name } of services) {
             const upstreams = this.view.getUsable(name, this.clock.now()).map(known => known.entry);
             decisions
-                .assignHomes(upstreams, members)
+                .assignCoordinators(upstreams, members)
                 .forEach((coordinator, upstream) => assigned.set(upstream, coordinator));
         }
         this.enginesByCoordinator.clear();
--- a/packages/gateway/src/itemScheduler.ts
+++ b/packages/gateway/src/itemScheduler.ts
@@ -6,7 +6,7 @@
 import * as itemRun from "./itemRun.js";
 import * as ownedSubmission from "./ownedSubmission.js";
 import * as routeTable from "./routeTable.js";
-import * as slotLending from "./slotLending.js";
+import * as slotGranting from "./slotLending.js";
 import type * as slotSharing from "./slotSharing.js";
 import * as types from "./types.js";
 import type * as wire from "./wire.js";
@@ -67,7 +67,7 @@
     private readonly pendingSlotRequests = new Map<core.UpstreamId, number>();
     private readonly deniedUntil = new Map<core.UpstreamId, core.MonotonicMilliseconds>();
     /** Estimates of how long items run, by route name. */
-    private readonly lengthEstimates = new Map<string, decisions.ItemLength>();
+    private readonly lengthEstimates = new Map<string, decisions.ItemDurationEstimator>();
     private isStopped = false;
 
     constructor(private readonly parts: SchedulerParts) {}
@@ -94,7 +94,7 @@
     }
 
     /** Stops the least urgent item on the upstream, to free its slot for an online request. */
-    yieldPlace(upstream: core.UpstreamId): void {
+    yieldSlot(upstream: core.UpstreamId): void {
         const getOutlook = this.createOutlookEstimator();
         let chosen: { owned: ownedSubmission.OwnedItem; run: itemRun.ItemRun } | undefined;
         for (const [owned, entry] of this.running) {
@@ -105,7 +105,7 @@
             }
         }
         if (chosen !== undefined) {
-            this.parts.log.note(gatewayLog.GatewayEvent.ItemYielded, { item: chosen.owned.item.id, upstream });
+            this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemYielded, { item: chosen.owned.item.id, upstream });
             chosen.run.stop(itemRun.ItemOutcomeKind.Stopped, "its slot was needed for an online request");
         }
     }
@@ -139,10 +139,10 @@
     /** In a large fleet, requests slots on engines that other members coordinate. */
     private requestRemoteSlots(waiting: readonly ownedSubmission.OwnedItem[]): void {
         const service = waiting[0] === undefined ? undefined : this.tryFindDestination(waiting[0])?.service;
-        if (service === undefined || !this.parts.slots.isLending(service)) {
+        if (service === undefined || !this.parts.slots.requiresGrant(service)) {
             return;
         }
-        this.parts.slots.borrowForBatch(service, waiting.length, upstream => this.startOnRemoteSlot(service, upstream));
+        this.parts.slots.requestBatchSlots(service, waiting.length, upstream => this.startOnRemoteSlot(service, upstream));
     }
 
     /** Starts the most urgent waiting item on a granted slot. The item for which the slot was requested may have ended. */
@@ -190,7 +190,7 @@
     }
 
     /** Returns a function that estimates when an item is due and how long it still has to run. */
-    private createOutlookEstimator(): (owned: ownedSubmission.OwnedItem) => decisions.ItemOutlook {
+    private createOutlookEstimator(): (owned: ownedSubmission.OwnedItem) => decisions.ItemEstimate {
         const wallNow = this.parts.clock.wallNow();
         const routes = this.parts.view.getRoutes();
         const routeBySubmission = new Map<ownedSubmission.OwnedSubmission, types.Route | undefined>();
@@ -200,7 +200,7 @@
                 routeBySubmission.set(owned.submission, routes?.tryFind(head.host, head.target));
             }
             const route = routeBySubmission.get(owned.submission);
-            const dueAt = head.acceptedAt + (route?.runTargetMilliseconds ?? 0);
+            const dueAt = head.acceptedAt + (route?.completionTargetMilliseconds ?? 0);
             return {
                 dueInMilliseconds: dueAt - wallNow,
                 remainingMilliseconds: this.lengthEstimates.get(route?.name ?? "")?.estimate(owned.texts.length) ?? 0,
@@ -210,7 +210,7 @@
     }
 
     private recordLength(route: types.Route, events: number, runEvents: number, milliseconds: number): void {
-        const length = this.lengthEstimates.get(route.name) ?? new decisions.ItemLength();
+        const length = this.lengthEstimates.get(route.name) ?? new decisions.ItemDurationEstimator();
         this.lengthEstimates.set(route.name, length);
         length.record(events, runEvents, milliseconds);
     }
@@ -221,20 +221,20 @@
             return true;
         }
         const { route, service } = destination;
-        const isLending = this.parts.slots.isLending(service);
+        const isLending = this.parts.slots.requiresGrant(service);
         const candidates = this.parts.view
             .getUsable(service, now)
             .map(upstream => upstream.entry)
-            .filter(entry => !isLending || this.parts.slots.isOwn(entry.id))
+            .filter(entry => !isLending || this.parts.slots.isOwnEngine(entry.id))
             .filter(entry => (this.deniedUntil.get(entry.id) ?? 0) <= now)
             .map(entry => ({
                 ...entry,
                 slots: entry.slots - (this.pendingSlotRequests.get(entry.id) ?? 0),
                 hasIdleConnection: this.parts.channels.hasIdleConnection(entry),
             }));
-        const chosen = this.parts.slots.board.tryChooseBatch(
+        const chosen = this.parts.slots.slotTable.tryChooseBatch(
             candidates,
-            slotLending.ReservedSlots,
+            slotGranting.ReservedSlots,
             this.parts.dataCentre,
             now,
         );
@@ -259,7 +259,7 @@
     ): Promise<void> {
         owned.state = ownedSubmission.ItemState.Running;
         this.pendingSlotRequests.set(upstream.id, (this.pendingSlotRequests.get(upstream.id) ?? 0) + 1);
-        const isGranted = await this.parts.slots.mayStartBatch(upstream, slotLending.ReservedSlots);
+        const isGranted = await this.parts.slots.mayStartBatch(upstream, slotGranting.ReservedSlots);
         this.pendingSlotRequests.set(upstream.id, (this.pendingSlotRequests.get(upstream.id) ?? 1) - 1);
         if (owned.state !== ownedSubmission.ItemState.Running) {
             return;
@@ -280,11 +280,11 @@
         route: types.Route,
         isCounted: boolean,
     ): Promise<void> {
-        this.parts.log.note(gatewayLog.GatewayEvent.ItemStarted, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemStarted, {
             item: owned.item.id,
             upstream: upstream.id,
             events: owned.texts.length,
-            ...this.parts.slots.board.getTotal(upstream.id),
+            ...this.parts.slots.slotTable.getTotal(upstream.id),
         });
         owned.state = ownedSubmission.ItemState.Running;
         let stopSilenceTimer = (): void => undefined;
@@ -302,7 +302,7 @@
             upstream: upstream.id,
             remainingMilliseconds: undefined,
             customer,
-            passesCredentials: this.parts.view.passesCredentials(customer),
+            passesCredentials: this.parts.view.forwardsCredentials(customer),
             lastEventId: owned.lastEventId === undefined ? undefined : String(owned.lastEventId),
         });
         const request = {
@@ -353,10 +353,10 @@
                 }
                 break;
             case kinds.NotRun:
-                this.parts.slots.board.penalize(upstream.id, now + FullPenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + FullPenaltyMilliseconds);
                 break;
             case kinds.NotSent:
-                this.parts.slots.board.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
                 break;
             case kinds.Lost:
                 owned.notBefore = now + RetryPauseMilliseconds;
@@ -364,7 +364,7 @@
             case kinds.Stopped:
                 return;
         }
-        this.parts.log.note(gatewayLog.GatewayEvent.ItemRetried, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemRetried, {
             submission: owned.submission.getId(),
             item: owned.item.id,
             upstream: upstream.id,
@@ -375,7 +375,7 @@
     }
 
     private giveUp(owned: ownedSubmission.OwnedItem, reason: string): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.ItemGivenUp, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.ItemGivenUp, {
             submission: owned.submission.getId(),
             item: owned.item.id,
             reason,
@@ -403,7 +403,7 @@
                 continue;
             }
             this.routeMissingSince.delete(submission);
-            if (wallNow - head.acceptedAt > route.keepMilliseconds + ExpirySlackMilliseconds) {
+            if (wallNow - head.acceptedAt > route.giveUpAfterMilliseconds + ExpirySlackMilliseconds) {
                 this.giveUpAll(submission, "it has expired");
             }
         }
--- a/packages/gateway/src/memberDirectory.ts
+++ b/packages/gateway/src/memberDirectory.ts
@@ -58,7 +58,7 @@
     }
 
     /** The member that takes over a submission of a removed one. All members compute the same result. */
-    chooseHeir(submission: string): core.InstanceId | undefined {
+    chooseSuccessor(submission: string): core.InstanceId | undefined {
         return decisions.rendezvous(
             submission,
             this.getMembers().map(member => member.id),
@@ -69,7 +69,7 @@
      * Whether another incarnation of the member's instance is listed. If so, a member that is no longer listed has
      * ended, whatever the state of its lease.
      */
-    hasOtherLife(id: core.InstanceId): boolean {
+    hasOtherIncarnation(id: core.InstanceId): boolean {
         const instance = getInstanceName(id);
         return this.getMembers().some(member => member.id !== id && getInstanceName(member.id) === instance);
     }
--- a/packages/gateway/src/quotaKeepers.ts
+++ b/packages/gateway/src/quotaKeepers.ts
@@ -12,7 +12,7 @@
 const RankKey = "quota";
 
 /** Determines which member owns the quota of which customer. */
-export class QuotaKeepers {
+export class QuotaOwners {
     /** Computed on first use after a change of the members. */
     private owners: readonly core.InstanceId[] | undefined;
     private memberCount: number | undefined;
--- a/packages/gateway/src/quotaReach.ts
+++ b/packages/gateway/src/quotaReach.ts
@@ -4,7 +4,7 @@
 import type * as quotaOwners from "./quotaKeepers.js";
 
 export interface QuotaReachParts {
-    readonly keepers: quotaOwners.QuotaKeepers;
+    readonly owners: quotaOwners.QuotaOwners;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
     readonly terms: customers.QuotaTerms;
@@ -57,7 +57,7 @@
     }
 
     private refresh(now: core.MonotonicMilliseconds): void {
-        const { keepers: owners, network, terms } = this.parts;
+        const { owners: owners, network, terms } = this.parts;
         const count = owners.getMemberCount();
         const unresponsive = owners.pickListed(network.getSilentPeers());
         const linked = Math.min(count, owners.pickListed(network.getConnectedPeers()).length + 1);
--- a/packages/gateway/src/registration.ts
+++ b/packages/gateway/src/registration.ts
@@ -122,7 +122,7 @@
             return false;
         }
         this.lease = granted.value;
-        this.log.note(gatewayLog.GatewayEvent.MemberRegistered, { lease: granted.value });
+        this.log.recordEvent(gatewayLog.GatewayEvent.MemberRegistered, { lease: granted.value });
         return true;
     }
 
--- a/packages/gateway/src/registryRelay.ts
+++ b/packages/gateway/src/registryRelay.ts
@@ -26,7 +26,7 @@
     readonly view: fleetView.FleetView;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
-    readonly duty: watchAssignment.WatchDuty;
+    readonly assignment: watchAssignment.WatchAssignment;
     /** Whether this member's copy comes from the store's watches. */
     readonly isWatching: () => boolean;
     readonly apply: (entries: readonly types.StoreEntry[]) => void;
@@ -46,7 +46,7 @@
 
     constructor(private readonly parts: RegistryRelayParts) {
         const { network } = parts;
-        this.policy = new catchUpPolicy.CatchUpPolicy(parts.view, parts.duty);
+        this.policy = new catchUpPolicy.CatchUpPolicy(parts.view, parts.assignment);
         network.handle(protocol.MessageKind.RegistryEntries, async message => {
             this.apply(message);
             return undefined;
@@ -54,7 +54,7 @@
         network.handle(protocol.MessageKind.RegistryRequest, async message => this.answer(message.revision));
         network.handle(protocol.MessageKind.Heartbeat, async (message, from) => {
             if (message.isWatching === true) {
-                parts.duty.recordHeartbeat(from, parts.clock.now());
+                parts.assignment.recordHeartbeat(from, parts.clock.now());
             }
             await this.catchUp(from, message);
             return undefined;
@@ -63,7 +63,7 @@
 
     /** Notifies peers of changes received by a watch of the store. */
     publish(entries: readonly types.StoreEntry[]): void {
-        const { clock, duty: assignment, network } = this.parts;
+        const { clock, assignment: assignment, network } = this.parts;
         const isLarge = assignment.isLargeFleet();
         const published = isLarge
             ? entries
@@ -146,7 +146,7 @@
     }
 
     private logRequest(peer: core.InstanceId, after: types.Revision, entries: number, text: string): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.RegistryAsked, { peer, after, entries, text });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.RegistryAsked, { peer, after, entries, text });
     }
 
     private apply(message: protocol.RegistryEntries): void {
@@ -156,12 +156,12 @@
             message.isWhole && message.settled !== undefined ? view.findMissing(entries, message.settled) : [];
         apply([...entries, ...missing]);
         if (message.isWhole) {
-            view.noteWhole();
+            view.noteComplete();
         }
     }
 
     private logUnusableEntry(text: string): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.EntryUnusable, { text });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.EntryUnusable, { text });
     }
 
     private tryDecode(encoded: protocol.RegistryEntry): types.StoreEntry | undefined {
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -17,7 +17,7 @@
     readonly view: fleetView.FleetView;
     readonly channels: channelDirectory.Channels;
     readonly slots: slotSharing.SlotSharing;
-    readonly crashes: crashWatch.CrashWatch;
+    readonly crashWatch: crashWatch.CrashWatch;
     readonly clock: core.Clock;
     readonly log: gatewayLog.GatewayLog;
     readonly dataCentre: core.DataCentre;
@@ -52,7 +52,7 @@
     isCallerDisconnected: boolean;
     isTimedOut: boolean;
     /** Estimated number of requests at the chosen upstream at the time it was chosen. */
-    believed: decisions.SlotUse;
+    estimatedUse: decisions.SlotUse;
     /** Number of usable upstreams of the service at the time the upstream was chosen. */
     knownUpstreams: number;
 }
@@ -108,7 +108,7 @@
             relay: undefined,
             isCallerDisconnected: response.destroyed,
             isTimedOut: false,
-            believed: { online: 0, batch: 0 },
+            estimatedUse: { online: 0, batch: 0 },
             knownUpstreams: 0,
         };
         const onClose = (): void => {
@@ -153,7 +153,7 @@
     private abandon(progress: Progress, placement: Placement): void {
         const { id } = placement.upstream;
         if (placement.isCounted) {
-            this.parts.slots.giveBack(id);
+            this.parts.slots.returnSlot(id);
         }
         if (progress.isCallerDisconnected) {
             this.parts.log.finished(progress.request, "the caller left", id, progress);
@@ -166,7 +166,7 @@
     private async tryChoosePlacement(progress: Progress): Promise<Placement | undefined> {
         const { request } = progress;
         const now = this.parts.clock.now();
-        const suspicion = this.parts.crashes.suspects.judge(progress.fingerprint, now);
+        const suspicion = this.parts.crashWatch.suspects.getDecision(progress.fingerprint, now);
         if (suspicion.verdict === decisions.SuspectVerdict.Quarantined) {
             const retryAfter = suspicion.retryAfterMilliseconds;
             this.refuse(progress, types.RefusalReason.Quarantined, retryAfter, `${suspicion.deaths} upstreams crashed`);
@@ -179,7 +179,7 @@
         const preferred = (untried.length > 0 ? untried : usable).map(upstream => upstream.entry);
         // A suspect request avoids upstreams that run other suspects, so that the next crash can be attributed to one of them.
         const distinguishable = preferred.filter(entry =>
-            this.parts.crashes.suspects.maySend(progress.fingerprint, entry.id, now),
+            this.parts.crashWatch.suspects.maySend(progress.fingerprint, entry.id, now),
         );
         const candidates = (distinguishable.length > 0 ? distinguishable : preferred).map(entry => ({
             ...entry,
@@ -204,7 +204,7 @@
             latencyTargetMilliseconds: request.route.latencyTargetMilliseconds,
             remainingMilliseconds: request.deadline - now,
         };
-        const verdict = decisions.judgeOnline(outlook, this.parts.random);
+        const verdict = decisions.decideOnlineAdmission(outlook, this.parts.random);
         if (!verdict.isAdmitted && progress.runs === 0) {
             this.refuse(
                 progress,
@@ -215,10 +215,10 @@
             return undefined;
         }
         if (choice.yielder !== undefined) {
-            this.parts.slots.askToYield(choice.id, choice.yielder);
+            this.parts.slots.requestYield(choice.id, choice.yielder);
         }
         progress.knownUpstreams = usable.length;
-        progress.believed = this.parts.slots.board.getTotal(chosen.id);
+        progress.estimatedUse = this.parts.slots.slotTable.getTotal(chosen.id);
         return { upstream: chosen, isCounted: choice.isCounted };
     }
 
@@ -252,13 +252,13 @@
         progress.sends++;
         progress.tried.add(upstream.id);
         this.parts.slots.take(upstream.id, false, placement.isCounted);
-        this.parts.crashes.suspects.onSent(request.head.attemptId, progress.fingerprint, upstream.id, startedAt);
+        this.parts.crashWatch.suspects.onSent(request.head.attemptId, progress.fingerprint, upstream.id, startedAt);
         const headers = this.parts.wire.createForwardHeaders(request.raw.rawHeaders, {
             upstream: upstream.id,
             remainingMilliseconds: request.deadline - startedAt,
             lastEventId,
             customer: request.customer,
-            passesCredentials: this.parts.view.passesCredentials(request.customer),
+            passesCredentials: this.parts.view.forwardsCredentials(request.customer),
         });
         const exchange = this.parts.channels
             .get(upstream)
@@ -314,10 +314,10 @@
         const now = this.parts.clock.now();
         const watch = this.failureWatches.get(upstream.service) ?? new decisions.FailureWatch();
         this.failureWatches.set(upstream.service, watch);
-        const avoidedUntil = watch.noteEnd(upstream.id, isFailure, progress.knownUpstreams, now);
+        const avoidedUntil = watch.recordOutcome(upstream.id, isFailure, progress.knownUpstreams, now);
         if (avoidedUntil !== undefined) {
-            this.parts.slots.board.penalize(upstream.id, avoidedUntil);
-            this.parts.log.note(gatewayLog.GatewayEvent.UpstreamAvoided, {
+            this.parts.slots.slotTable.penalize(upstream.id, avoidedUntil);
+            this.parts.log.recordEvent(gatewayLog.GatewayEvent.UpstreamAvoided, {
                 upstream: upstream.id,
                 milliseconds: avoidedUntil - now,
             });
@@ -331,7 +331,7 @@
      */
     private watchFirstEvent(progress: Progress, placement: Placement): () => void {
         const { upstream } = placement;
-        const { online, batch } = progress.believed;
+        const { online, batch } = progress.estimatedUse;
         const hadFreeSlot = placement.isCounted || online + batch < upstream.slots;
         if (progress.request.route.kind !== types.RouteKind.Stream || progress.delivery.isStarted || !hadFreeSlot) {
             return () => undefined;
@@ -349,7 +349,7 @@
         upstream: types.UpstreamEntry,
         outcome: answerRelay.AttemptOutcome,
     ): Promise<void> {
-        const { suspects } = this.parts.crashes;
+        const { suspects } = this.parts.crashWatch;
         const kinds = answerRelay.AttemptOutcomeKind;
         const id = progress.request.head.attemptId;
         if (outcome.kind === kinds.Delivered || outcome.kind === kinds.Failed) {
@@ -357,7 +357,7 @@
             return;
         }
         if (outcome.kind === kinds.Lost) {
-            await this.parts.crashes.onBroken(upstream);
+            await this.parts.crashWatch.onBroken(upstream);
         }
         suspects.onAbandoned(id, upstream.id);
     }
@@ -385,14 +385,14 @@
                 return true;
             case kinds.NotRun:
                 progress.runs--;
-                this.parts.slots.board.penalize(upstream.id, now + FullPenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + FullPenaltyMilliseconds);
                 break;
             case kinds.NotSent:
-                this.parts.slots.board.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
+                this.parts.slots.slotTable.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
                 break;
             case kinds.Silent:
-                this.parts.channels.get(upstream).renew();
-                this.parts.slots.board.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
+                this.parts.channels.get(upstream).replaceConnections();
+                this.parts.slots.slotTable.penalize(upstream.id, now + UnreachablePenaltyMilliseconds);
                 break;
             case kinds.Lost:
             case kinds.Stopped:
@@ -400,7 +400,7 @@
                 break;
         }
         const isNotRun = outcome.kind === kinds.NotRun || outcome.kind === kinds.NotSent;
-        const mayRepeat = decisions.mayRepeat({
+        const mayRepeat = decisions.mayRetry({
             end: isNotRun ? decisions.AttemptEnd.NotRun : decisions.AttemptEnd.MayHaveRun,
             isRepeatable: isRepeatable(request.route),
             runs: progress.runs,
--- a/packages/gateway/src/slotLending.ts
+++ b/packages/gateway/src/slotLending.ts
@@ -28,8 +28,8 @@
 const MaximumWaitingItems = 400;
 
 export interface SlotGrantingParts {
-    readonly board: decisions.SlotBoard;
-    readonly homes: coordinatorDirectory.HomeDirectory;
+    readonly slotTable: decisions.SlotTable;
+    readonly coordinators: coordinatorDirectory.CoordinatorDirectory;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
     readonly random: () => number;
@@ -41,7 +41,7 @@
      */
     readonly onGranted: (requester: core.InstanceId) => void;
     /** Called with a coordinator that gave no answer, and the result of the request. */
-    readonly onHomeSilent: (coordinator: core.InstanceId, text: string) => void;
+    readonly onCoordinatorUnresponsive: (coordinator: core.InstanceId, text: string) => void;
     /**
      * Called if the coordinator counts a slot for this member that it does not use. Notifies the coordinator of the
      * actual use.
@@ -71,12 +71,12 @@
  * the load to spread over the whole fleet.
  */
 export class SlotGranting {
-    private readonly order: decisions.HomeOrder;
+    private readonly order: decisions.CoordinatorOrder;
     private readonly waiting = new Set<WaitingItem>();
     private readonly pendingBatchRequests = new Set<core.InstanceId>();
 
     constructor(private readonly parts: SlotGrantingParts) {
-        this.order = new decisions.HomeOrder(parts.random);
+        this.order = new decisions.CoordinatorOrder(parts.random);
         const { network } = parts;
         network.handle(protocol.MessageKind.SlotRequest, async (message, from) => this.grantOnline(message, from));
         network.handle(protocol.MessageKind.BatchSlotRequest, async (message, from) => {
@@ -91,7 +91,7 @@
         service: string,
         usable: readonly decisions.SlotCandidate[],
     ): Promise<GrantedSlotChoice | undefined> {
-        const { board: slotTable, homes: coordinators, clock, dataCentre } = this.parts;
+        const { slotTable: slotTable, coordinators: coordinators, clock, dataCentre } = this.parts;
         // Otherwise an own engine that fails or rejects requests would be used as long as it is the only own one.
         const healthy = usable.filter(candidate => !slotTable.isPenalized(candidate.id, clock.now()));
         const candidates = healthy.length > 0 ? healthy : usable;
@@ -160,7 +160,7 @@
 
     /** Drops the waiting items of removed members, and stops ranking these members as coordinators. */
     forget(removed: readonly core.InstanceId[]): void {
-        removed.forEach(member => this.order.forget(member));
+        removed.forEach(member => this.order.remove(member));
         [...this.waiting].filter(item => removed.includes(item.from)).forEach(item => item.finish(undefined));
     }
 
@@ -179,7 +179,7 @@
         if (!reply.ok || reply.message.kind !== protocol.MessageKind.BatchSlotReply) {
             this.noteUnresponsive(coordinator, reply);
             // The coordinator may have granted a slot as the wait ended.
-            this.parts.homes.getEnginesOf(coordinator, service).forEach(this.parts.returnSlot);
+            this.parts.coordinators.getEnginesOf(coordinator, service).forEach(this.parts.returnSlot);
             return;
         }
         const { upstream } = reply.message;
@@ -197,7 +197,7 @@
         service: string,
         usable: ReadonlySet<core.UpstreamId>,
     ): Promise<GrantedSlotChoice | undefined> {
-        const { network, clock, returnSlot, homes: coordinators } = this.parts;
+        const { network, clock, returnSlot, coordinators: coordinators } = this.parts;
         const except = coordinators.getEnginesOf(coordinator, service).filter(upstream => !usable.has(upstream));
         const kind = protocol.MessageKind.SlotRequest;
         const message = except.length === 0 ? ({ kind, service } as const) : ({ kind, service, except } as const);
@@ -210,7 +210,7 @@
             return undefined;
         }
         const { upstream, waiting, free } = reply.message;
-        this.order.noteFree(coordinator, free, clock.now());
+        this.order.recordFreeSlots(coordinator, free, clock.now());
         if (upstream === undefined) {
             return undefined;
         }
@@ -223,8 +223,8 @@
     }
 
     private noteUnresponsive(coordinator: core.InstanceId, reply: protocol.PeerResult): void {
-        this.order.noteSilent(coordinator, this.parts.clock.now());
-        this.parts.onHomeSilent(coordinator, reply.ok ? reply.message.kind : `${reply.kind}: ${reply.text}`);
+        this.order.recordNoAnswer(coordinator, this.parts.clock.now());
+        this.parts.onCoordinatorUnresponsive(coordinator, reply.ok ? reply.message.kind : `${reply.kind}: ${reply.text}`);
     }
 
     /**
@@ -232,7 +232,7 @@
      * is granted it.
      */
     private grantOnline(message: protocol.SlotRequest, from: core.InstanceId): protocol.SlotReply {
-        const { board: slotTable, homes: coordinators, clock, dataCentre, requestYield, onGranted } = this.parts;
+        const { slotTable: slotTable, coordinators: coordinators, clock, dataCentre, requestYield, onGranted } = this.parts;
         const except = new Set(message.except);
         const candidates = coordinators
             .getOwnEngines(message.service)
@@ -275,7 +275,7 @@
     }
 
     private tryGrantBatch(service: string, from: core.InstanceId): core.UpstreamId | undefined {
-        const { board: slotTable, homes: coordinators, clock, dataCentre } = this.parts;
+        const { slotTable: slotTable, coordinators: coordinators, clock, dataCentre } = this.parts;
         const upstream = slotTable.tryChooseBatch(
             coordinators.getOwnEngines(service),
             ReservedSlots,
@@ -296,7 +296,7 @@
         const linked = new Set(this.parts.network.getConnectedPeers());
         const byCoordinator = new Map<core.InstanceId, Set<core.UpstreamId>>();
         for (const { id } of candidates) {
-            const coordinator = this.parts.homes.tryGetCoordinator(id);
+            const coordinator = this.parts.coordinators.tryGetCoordinator(id);
             if (coordinator !== undefined && linked.has(coordinator)) {
                 byCoordinator.set(coordinator, (byCoordinator.get(coordinator) ?? new Set()).add(id));
             }
@@ -305,11 +305,11 @@
     }
 
     private getLinkedCoordinators(): readonly core.InstanceId[] {
-        return this.parts.network.getConnectedPeers().filter(peer => this.parts.homes.isCoordinator(peer));
+        return this.parts.network.getConnectedPeers().filter(peer => this.parts.coordinators.isCoordinator(peer));
     }
 
     private rank(coordinators: readonly core.InstanceId[]): readonly core.InstanceId[] {
-        const choices = coordinators.map(id => ({ id, isNear: this.parts.homes.isInSameDataCentre(id) }));
+        const choices = coordinators.map(id => ({ id, isNear: this.parts.coordinators.isInSameDataCentre(id) }));
         return this.order.rank(choices, this.parts.clock.now());
     }
 }
--- a/packages/gateway/src/slotSharing.ts
+++ b/packages/gateway/src/slotSharing.ts
@@ -31,13 +31,13 @@
 const CoordinatedPeerExpiryMilliseconds = 3 * CoordinatedFullNoticeIntervalMilliseconds;
 
 export interface SlotSharingParts {
-    readonly board: decisions.SlotBoard;
+    readonly slotTable: decisions.SlotTable;
     readonly network: protocol.PeerNetwork;
     readonly clock: core.Clock;
-    readonly homes: coordinatorDirectory.HomeDirectory;
+    readonly coordinators: coordinatorDirectory.CoordinatorDirectory;
     readonly dataCentre: core.DataCentre;
     readonly random: () => number;
-    readonly onHomeSilent: (coordinator: core.InstanceId, text: string) => void;
+    readonly onCoordinatorUnresponsive: (coordinator: core.InstanceId, text: string) => void;
 }
 
 /**
@@ -59,17 +59,17 @@
     private readonly granting: slotGranting.SlotGranting;
     private readonly network: protocol.PeerNetwork;
     private readonly clock: core.Clock;
-    readonly board: decisions.SlotBoard;
+    readonly slotTable: decisions.SlotTable;
 
     constructor(private readonly parts: SlotSharingParts) {
-        const { network, clock, board: slotTable } = parts;
+        const { network, clock, slotTable: slotTable } = parts;
         this.network = network;
         this.clock = clock;
-        this.board = slotTable;
+        this.slotTable = slotTable;
         this.granting = new slotGranting.SlotGranting({
             ...parts,
-            requestYield: (upstream, yielder) => this.askToYield(upstream, yielder),
-            returnSlot: upstream => this.giveBack(upstream),
+            requestYield: (upstream, yielder) => this.requestYield(upstream, yielder),
+            returnSlot: upstream => this.returnSlot(upstream),
             onGranted: requester => this.lastNoticeAt.set(requester, clock.now()),
         });
         network.handle(protocol.MessageKind.BatchStart, async (message, from) => ({
@@ -93,12 +93,12 @@
     }
 
     /** Whether this member's items may only start on its own engines and on slots that neighbours grant. */
-    isLending(service: string): boolean {
-        return this.parts.homes.isLending() && this.parts.homes.isEngineService(service);
+    requiresGrant(service: string): boolean {
+        return this.parts.coordinators.areSlotsGranted() && this.parts.coordinators.isEngineService(service);
     }
 
-    isOwn(upstream: core.UpstreamId): boolean {
-        return this.parts.homes.tryGetCoordinator(upstream) === decisions.SelfInstance;
+    isOwnEngine(upstream: core.UpstreamId): boolean {
+        return this.parts.coordinators.tryGetCoordinator(upstream) === decisions.SelfInstance;
     }
 
     /** Chooses the upstream for an online request. The caller decides whether to join its queue. */
@@ -106,11 +106,11 @@
         service: string,
         candidates: readonly decisions.SlotCandidate[],
     ): Promise<slotGranting.GrantedSlotChoice | undefined> {
-        if (this.isLending(service)) {
+        if (this.requiresGrant(service)) {
             return this.granting.chooseOnline(service, candidates);
         }
         const { dataCentre } = this.parts;
-        const choice = this.board.tryChooseOnline(candidates, dataCentre, slotGranting.ReservedSlots, this.clock.now());
+        const choice = this.slotTable.tryChooseOnline(candidates, dataCentre, slotGranting.ReservedSlots, this.clock.now());
         return choice === undefined ? undefined : { ...choice, isCounted: false };
     }
 
@@ -118,7 +118,7 @@
      * Requests slots from neighbours for the wanted number of items. `use` is called with each granted slot, and
      * returns whether it is used.
      */
-    borrowForBatch(service: string, wanted: number, use: (upstream: core.UpstreamId) => boolean): void {
+    requestBatchSlots(service: string, wanted: number, use: (upstream: core.UpstreamId) => boolean): void {
         this.granting.requestBatchSlots(service, wanted, use);
     }
 
@@ -130,7 +130,7 @@
 
     /** `isCounted`: the upstream's coordinator granted the slot and needs no notice of it. */
     take(upstream: core.UpstreamId, isBatch: boolean, isCounted = false): void {
-        this.board.take(upstream, isBatch);
+        this.slotTable.take(upstream, isBatch);
         this.usedUpstreams.add(upstream);
         if (!isCounted) {
             this.noteChange(upstream, TakenNoticeDelayMilliseconds);
@@ -140,12 +140,12 @@
     /**
      * Notifies the upstream's coordinator of the actual use, after it counted a slot for this member that is not used.
      */
-    giveBack(upstream: core.UpstreamId): void {
+    returnSlot(upstream: core.UpstreamId): void {
         this.noteChange(upstream, ReleasedNoticeDelayMilliseconds);
     }
 
     release(upstream: core.UpstreamId, isBatch: boolean): void {
-        this.board.release(upstream, isBatch);
+        this.slotTable.release(upstream, isBatch);
         this.noteChange(upstream, ReleasedNoticeDelayMilliseconds);
         this.notifySlotFreed();
     }
@@ -154,7 +154,7 @@
      * Asks the holder of a batch item on the upstream to give up its slot. Sent immediately, since an online request is
      * waiting.
      */
-    askToYield(upstream: core.UpstreamId, yielder: core.InstanceId): void {
+    requestYield(upstream: core.UpstreamId, yielder: core.InstanceId): void {
         if (yielder === decisions.SelfInstance) {
             this.onYield(upstream);
             return;
@@ -167,7 +167,7 @@
      * is stopped or cut off. The local slot table decides then, as it does at the other members.
      */
     async mayStartBatch(upstream: decisions.SlotCandidate, reserve: number): Promise<boolean> {
-        const coordinator = this.parts.homes.tryGetCoordinator(upstream.id);
+        const coordinator = this.parts.coordinators.tryGetCoordinator(upstream.id);
         if (coordinator === undefined || coordinator === decisions.SelfInstance) {
             return this.grant(decisions.SelfInstance, upstream, reserve);
         }
@@ -193,7 +193,7 @@
             this.forgetSilentPeers();
             this.sendNotices([...this.usedUpstreams], true);
             this.forgetUnused();
-            const areGranted = this.parts.homes.isLending();
+            const areGranted = this.parts.coordinators.areSlotsGranted();
             const interval = areGranted ? CoordinatedFullNoticeIntervalMilliseconds : FullNoticeIntervalMilliseconds;
             await this.clock.sleep(interval, this.stopper.signal);
         }
@@ -208,7 +208,7 @@
         upstream: { id: core.UpstreamId; slots: number },
         reserve: number,
     ): boolean {
-        const total = this.board.getTotal(upstream.id);
+        const total = this.slotTable.getTotal(upstream.id);
         return this.grants.tryGrant(requester, upstream.id, total, upstream.slots, reserve, this.clock.now());
     }
 
@@ -230,7 +230,7 @@
     }
 
     private sendNotices(upstreams: readonly core.UpstreamId[], isWhole: boolean): void {
-        if (!this.parts.homes.isLending()) {
+        if (!this.parts.coordinators.areSlotsGranted()) {
             this.network.notifyAll(this.createNotice(upstreams, isWhole), protocol.Lane.Control);
             return;
         }
@@ -246,7 +246,7 @@
     private groupByCoordinator(upstreams: readonly core.UpstreamId[]): Map<core.InstanceId, core.UpstreamId[]> {
         const byCoordinator = new Map<core.InstanceId, core.UpstreamId[]>();
         for (const upstream of upstreams) {
-            const coordinator = this.parts.homes.tryGetCoordinator(upstream);
+            const coordinator = this.parts.coordinators.tryGetCoordinator(upstream);
             if (coordinator !== undefined && coordinator !== decisions.SelfInstance) {
                 byCoordinator.set(coordinator, [...(byCoordinator.get(coordinator) ?? []), upstream]);
             }
@@ -256,7 +256,7 @@
 
     private createNotice(upstreams: readonly core.UpstreamId[], isWhole: boolean): protocol.SlotUses {
         const uses = upstreams.map((upstream): readonly [string, number, number] => {
-            const own = this.board.getOwn(upstream);
+            const own = this.slotTable.getOwn(upstream);
             return [upstream, own.online, own.batch];
         });
         const listed = isWhole ? uses.filter(([, online, batch]) => online > 0 || batch > 0) : uses;
@@ -266,11 +266,11 @@
     private applyNotice(message: protocol.SlotUses, from: core.InstanceId): void {
         this.lastNoticeAt.set(from, this.clock.now());
         if (message.isWhole) {
-            this.board.removePeer(from);
+            this.slotTable.removePeer(from);
         }
         for (const [upstream, online, batch] of message.uses) {
-            this.grants.settle(from, upstream);
-            this.board.setPeer(from, upstream, { online, batch });
+            this.grants.confirm(from, upstream);
+            this.slotTable.setPeer(from, upstream, { online, batch });
         }
         this.notifySlotFreed();
     }
@@ -283,7 +283,7 @@
     /** Forgets upstreams without requests of this member, about which there is nothing to report. */
     private forgetUnused(): void {
         for (const upstream of this.usedUpstreams) {
-            const own = this.board.getOwn(upstream);
+            const own = this.slotTable.getOwn(upstream);
             if (own.online === 0 && own.batch === 0) {
                 this.usedUpstreams.delete(upstream);
             }
@@ -292,7 +292,7 @@
 
     private forgetSilentPeers(): void {
         const now = this.clock.now();
-        const limit = this.parts.homes.isLending() ? CoordinatedPeerExpiryMilliseconds : PeerExpiryMilliseconds;
+        const limit = this.parts.coordinators.areSlotsGranted() ? CoordinatedPeerExpiryMilliseconds : PeerExpiryMilliseconds;
         for (const [peer, at] of this.lastNoticeAt) {
             if (now - at > limit) {
                 this.forgetPeer(peer);
@@ -302,6 +302,6 @@
 
     private forgetPeer(peer: core.InstanceId): void {
         this.lastNoticeAt.delete(peer);
-        this.board.removePeer(peer);
+        this.slotTable.removePeer(peer);
     }
 }
--- a/packages/gateway/src/storeReturn.ts
+++ b/packages/gateway/src/storeReturn.ts
@@ -15,7 +15,7 @@
  * upstreams that are leaving. Calls of every purpose are taken into account, since the first one that finds a silent
  * connection has it replaced, and those after it succeed.
  */
-export class StoreReturn {
+export class StoreRecovery {
     private readonly watchers: storeWatcher.StoreWatcher[] = [];
     private restartedAt: core.MonotonicMilliseconds = -Infinity;
     private isRestartDue = false;
@@ -26,7 +26,7 @@
         private readonly log: gatewayLog.GatewayLog,
     ) {}
 
-    follow(watcher: storeWatcher.StoreWatcher): void {
+    addWatcher(watcher: storeWatcher.StoreWatcher): void {
         this.watchers.push(watcher);
     }
 
@@ -36,7 +36,7 @@
         if (!this.view.noteStoreCall(outcome, now - milliseconds, now)) {
             return;
         }
-        this.log.note(gatewayLog.GatewayEvent.StoreReturned, { call, outcome });
+        this.log.recordEvent(gatewayLog.GatewayEvent.StoreReturned, { call, outcome });
         if (this.isRestartDue) {
             return;
         }
--- a/packages/gateway/src/storeWatcher.ts
+++ b/packages/gateway/src/storeWatcher.ts
@@ -200,6 +200,6 @@
         }
         this.isReachable = isReachable;
         const event = isReachable ? gatewayLog.GatewayEvent.StoreRegained : gatewayLog.GatewayEvent.StoreLost;
-        this.parts.log.note(event, { prefix: this.watched.prefix, text });
+        this.parts.log.recordEvent(event, { prefix: this.watched.prefix, text });
     }
 }
--- a/packages/gateway/src/submissionReader.ts
+++ b/packages/gateway/src/submissionReader.ts
@@ -69,7 +69,7 @@
         if (stored.value.head.isEnded) {
             return { ok: false, reason: types.RefusalReason.UnknownItem };
         }
-        const items = await this.parts.submissions.readItems(submission, stored.value.head);
+        const items = await this.parts.submissionStore.readItems(submission, stored.value.head);
         if (!items.ok) {
             return { ok: false, reason: types.RefusalReason.StoreUnavailable };
         }
@@ -113,13 +113,13 @@
         if (!(await own.end())) {
             return this.endInStore(own.getId());
         }
-        this.parts.log.note(gatewayLog.GatewayEvent.SubmissionEnded, { submission: own.getId() });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.SubmissionEnded, { submission: own.getId() });
         return { ok: true, value: undefined };
     }
 
     private async endInStore(submission: string): Promise<CallResult<undefined>> {
         for (let round = 0; round < 5; round++) {
-            const found = await this.parts.submissions.readHead(submission);
+            const found = await this.parts.submissionStore.readHead(submission);
             if (!found.ok) {
                 return { ok: false, reason: types.RefusalReason.StoreUnavailable };
             }
@@ -131,14 +131,14 @@
             }
             const lease = this.parts.registration.tryGetLease();
             const key = memberDirectory.EndedPrefix + encodeURIComponent(submission);
-            const outcome = await this.parts.submissions.write({
+            const outcome = await this.parts.submissionStore.write({
                 submission,
                 head: { ...found.value.head, nonce: ownedSubmission.createNonce(), isEnded: true },
                 expected: found.value.revision,
                 puts: lease === undefined ? [] : [{ key, value: Buffer.from("1"), lease }],
             });
             if (outcome.kind === submissionStore.WriteOutcomeKind.Written) {
-                this.parts.log.note(gatewayLog.GatewayEvent.SubmissionEnded, { submission });
+                this.parts.log.recordEvent(gatewayLog.GatewayEvent.SubmissionEnded, { submission });
                 return { ok: true, value: undefined };
             }
         }
@@ -153,7 +153,7 @@
     ): Promise<protocol.Message | undefined> {
         let owner = this.registry.tryGetOwner(submission);
         if (owner === undefined) {
-            const found = await this.parts.submissions.readHead(submission);
+            const found = await this.parts.submissionStore.readHead(submission);
             if (!found.ok || found.value === undefined) {
                 return undefined;
             }
@@ -175,7 +175,7 @@
     }
 
     private async findHead(submission: string): Promise<CallResult<submissionStore.StoredHead>> {
-        const found = await this.parts.submissions.readHead(submission);
+        const found = await this.parts.submissionStore.readHead(submission);
         if (!found.ok) {
             return { ok: false, reason: types.RefusalReason.StoreUnavailable };
         }
@@ -193,7 +193,7 @@
         if (head.listed <= position) {
             return { ok: true, value: { total: head.itemCount, next: position, results: [] } };
         }
-        const read = await this.parts.submissions.readResults(submission, head, position);
+        const read = await this.parts.submissionStore.readResults(submission, head, position);
         if (!read.ok) {
             return { ok: false, reason: types.RefusalReason.StoreUnavailable };
         }
--- a/packages/gateway/src/submissionRegistry.ts
+++ b/packages/gateway/src/submissionRegistry.ts
@@ -13,7 +13,7 @@
 /** Dependencies of `SubmissionService` and the classes that it uses. */
 export interface SubmissionServiceParts {
     readonly store: metadataStore.MetadataStore;
-    readonly submissions: submissionStore.SubmissionStore;
+    readonly submissionStore: submissionStore.SubmissionStore;
     readonly members: memberDirectory.MemberDirectory;
     readonly registration: registration.Registration;
     readonly network: protocol.PeerNetwork;
@@ -97,11 +97,11 @@
             stored,
             items,
             results,
-            store: this.parts.submissions,
+            store: this.parts.submissionStore,
             clock: this.parts.clock,
             onOwnershipLost: reason => this.handleOwnershipLost(submission, reason),
             onListed: (count, calls) =>
-                this.parts.log.note(gatewayLog.GatewayEvent.ResultsListed, { submission: id, count, calls }),
+                this.parts.log.recordEvent(gatewayLog.GatewayEvent.ResultsListed, { submission: id, count, calls }),
         });
         submission.setProgress(progress);
         this.owned.set(id, submission);
@@ -137,6 +137,6 @@
             this.owned.delete(id);
         }
         this.parts.scheduler.remove(submission);
-        this.parts.log.note(gatewayLog.GatewayEvent.SubmissionLost, { submission: id, reason });
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.SubmissionLost, { submission: id, reason });
     }
 }
--- a/packages/gateway/src/submissionService.ts
+++ b/packages/gateway/src/submissionService.ts
@@ -113,7 +113,7 @@
     }
 
     /** Applies changes of the end markers, through which a member ends a submission whose owner it can't reach directly. */
-    applyEndedMarks(entries: readonly types.StoreEntry[]): void {
+    applyEndMarkers(entries: readonly types.StoreEntry[]): void {
         this.reader.applyEndMarkers(entries);
     }
 
@@ -190,7 +190,7 @@
         const { head, puts } = newRecords;
         let isUncertain = false;
         while (!this.registry.isKnown(submission.id)) {
-            const outcome = await this.parts.submissions.write({ submission: submission.id, head, expected: 0, puts });
+            const outcome = await this.parts.submissionStore.write({ submission: submission.id, head, expected: 0, puts });
             switch (outcome.kind) {
                 case submissionStore.WriteOutcomeKind.Written:
                     this.start(submission, { head, revision: outcome.revision });
@@ -318,7 +318,7 @@
     }
 
     private start(submission: NewSubmission, stored: submissionStore.StoredHead): void {
-        this.parts.log.note(gatewayLog.GatewayEvent.SubmissionAccepted, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.SubmissionAccepted, {
             submission: submission.id,
             items: submission.items.length,
             revision: stored.revision,
@@ -329,7 +329,7 @@
     /** Refuses a submission. The reason states that nothing runs only if the submission was certainly not stored. */
     private refuse(submission: NewSubmission, outcome: StorageOutcome): AcceptOutcome {
         const isUncertain = outcome === StorageOutcome.Uncertain;
-        this.parts.log.note(gatewayLog.GatewayEvent.SubmissionRefused, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.SubmissionRefused, {
             submission: submission.id,
             text: this.lastStoreFailure,
             isUncertain,
--- a/packages/gateway/src/submissionTakeover.ts
+++ b/packages/gateway/src/submissionTakeover.ts
@@ -79,7 +79,7 @@
             return;
         }
         this.registry.forgetOwners(removed);
-        const isReplaced = removed.every(id => this.parts.members.hasOtherLife(id));
+        const isReplaced = removed.every(id => this.parts.members.hasOtherIncarnation(id));
         void this.scanForOrphans(isReplaced ? ReplacedDelayMilliseconds : TakeoverDelayMilliseconds);
     }
 
@@ -99,7 +99,7 @@
         if (this.registry.isShuttingDown || !this.parts.members.isListed() || this.stopController.signal.aborted) {
             return;
         }
-        const listed = await this.parts.submissions.listHeads(scope === ScanScope.Own);
+        const listed = await this.parts.submissionStore.listHeads(scope === ScanScope.Own);
         if (!listed.ok) {
             return;
         }
@@ -124,7 +124,7 @@
         if (isOver || members.tryGet(head.owner) !== undefined) {
             return undefined;
         }
-        const successor = members.chooseHeir(id);
+        const successor = members.chooseSuccessor(id);
         return successor === members.self.id ? undefined : successor;
     }
 
@@ -154,14 +154,14 @@
         }
         const isExpired =
             clock.wallNow() - head.acceptedAt > this.parts.retentionMilliseconds + RetentionSlackMilliseconds;
-        if (isOver && isExpired && (isOwned || (!isOwnerLive && members.chooseHeir(id) === members.self.id))) {
+        if (isOver && isExpired && (isOwned || (!isOwnerLive && members.chooseSuccessor(id) === members.self.id))) {
             own?.giveUpOwnership("its retention period has ended");
-            await this.parts.submissions.remove(id, stored);
+            await this.parts.submissionStore.remove(id, stored);
             return;
         }
         // If the store applied the first write after the deadline, the head names this member as owner, but nothing runs.
         const isUnstarted = head.owner === members.self.id && !isOwned;
-        const isOrphan = !isOwnerLive && members.chooseHeir(id) === members.self.id;
+        const isOrphan = !isOwnerLive && members.chooseSuccessor(id) === members.self.id;
         if (!isOver && (isUnstarted || isOrphan)) {
             await this.takeOver(id);
         }
@@ -179,7 +179,7 @@
     }
 
     private async takeOverOnce(id: string, progress: readonly records.ItemProgress[]): Promise<void> {
-        const { submissions, members } = this.parts;
+        const { submissionStore: submissions, members } = this.parts;
         const found = await submissions.readHead(id);
         if (!found.ok || found.value === undefined || found.value.head.isEnded) {
             return;
@@ -199,7 +199,7 @@
         if (outcome.kind !== submissionStore.WriteOutcomeKind.Written) {
             return;
         }
-        this.parts.log.note(gatewayLog.GatewayEvent.SubmissionTakenOver, {
+        this.parts.log.recordEvent(gatewayLog.GatewayEvent.SubmissionTakenOver, {
             submission: id,
             from: head.owner,
             listed: head.listed,
--- a/packages/gateway/src/types.ts
+++ b/packages/gateway/src/types.ts
@@ -45,9 +45,9 @@
     /** A broken stream can be continued at another upstream after the last event received. */
     readonly isResumable: boolean;
     /** Batch only: time after acceptance by which all results are due. */
-    readonly runTargetMilliseconds: number;
+    readonly completionTargetMilliseconds: number;
     /** Batch only: time after acceptance from which unfinished items may be given up. */
-    readonly keepMilliseconds: number;
+    readonly giveUpAfterMilliseconds: number;
 }
 
 export interface ServiceDefinition {
--- a/packages/gateway/src/upstreamExchange.ts
+++ b/packages/gateway/src/upstreamExchange.ts
@@ -51,7 +51,7 @@
      * Replaces all connections. Used when a connection is silent, since the others may be dead as well. Exchanges in progress
      * continue.
      */
-    abstract renew(): void;
+    abstract replaceConnections(): void;
     /** Whether an idle kept-alive connection is available. */
     abstract hasIdleConnection(): boolean;
 }
@@ -60,7 +60,7 @@
     readonly address: string;
     readonly connectTimeoutMilliseconds: number;
     /** Maximum number of connections of this instance to the upstream. */
-    readonly connections: number;
+    readonly maximumConnections: number;
 }
 
 /**
@@ -107,7 +107,7 @@
         return exchange;
     }
 
-    override renew(): void {
+    override replaceConnections(): void {
         const previous = this.pool;
         this.pool = this.createPool();
         void previous.close();
@@ -124,7 +124,7 @@
     private createPool(): undici.Pool {
         const connect = undici.buildConnector({ timeout: this.options.connectTimeoutMilliseconds });
         return new undici.Pool(`http://${this.options.address}`, {
-            connections: this.options.connections,
+            connections: this.options.maximumConnections,
             pipelining: 1,
             keepAliveTimeout: DefaultKeepAliveMilliseconds,
             keepAliveMaxTimeout: MaximumKeepAliveMilliseconds,
--- a/packages/gateway/src/watchDuty.ts
+++ b/packages/gateway/src/watchDuty.ts
@@ -44,7 +44,7 @@
  * Decides which members watch the store. With hundreds of watching members, each change would wake the watches of all
  * others, which costs a call for each pair of members. Pure apart from reading the members and the view.
  */
-export class WatchDuty {
+export class WatchAssignment {
     private heartbeatAt: core.MonotonicMilliseconds;
     /** When the last heartbeat of each watching member arrived. */
     private readonly heartbeats = new Map<core.InstanceId, core.MonotonicMilliseconds>();
--- a/packages/gateway/src/wire.ts
+++ b/packages/gateway/src/wire.ts
@@ -2,7 +2,7 @@
 import type * as types from "./types.js";
 
 /** An answer that the gateway creates itself. */
-export interface OwnAnswer {
+export interface GatewayAnswer {
     readonly status: number;
     readonly headers: readonly string[];
     readonly body: string;
@@ -20,7 +20,7 @@
     abstract readAnswer(status: number, rawHeaders: readonly string[]): types.AnswerHead;
     /** Creates the headers for the caller: omits hop-by-hop headers. */
     abstract createReturnHeaders(rawHeaders: readonly string[]): string[];
-    abstract createRefusal(refusal: types.GatewayRefusal): OwnAnswer;
+    abstract createRefusal(refusal: types.GatewayRefusal): GatewayAnswer;
     /** Decodes a submission's items; `text` describes what is wrong with an invalid body. */
     abstract decodeSubmission(
         body: Uint8Array,
@@ -42,5 +42,5 @@
     abstract decodeConfiguration(value: Uint8Array): Decoded<types.Configuration>;
     abstract decodeUpstream(key: string, value: Uint8Array): Decoded<types.UpstreamEntry>;
     /** Creates the entry that reports to the operators that a machine is empty. */
-    abstract createRetirementDone(machine: string): { readonly key: string; readonly value: Uint8Array };
+    abstract createRetirementConfirmation(machine: string): { readonly key: string; readonly value: Uint8Array };
 }
--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -72,7 +72,7 @@
         generation: zod.int().min(0),
         digest: zod.int().min(0).optional(),
         logicalTime: count,
-        state: zod.enum(core.LifeState),
+        state: zod.enum(core.LifecycleState),
         isWatching: zod.boolean().optional(),
         configurationRevision: zod.int().min(0).optional(),
         upstreamsRevision: zod.int().min(0).optional(),
--- a/packages/protocol/src/types.ts
+++ b/packages/protocol/src/types.ts
@@ -87,7 +87,7 @@
     /** Logical time of the sender's time line. */
     readonly logicalTime: number;
     /** Whether the sender accepts new assignments. */
-    readonly state: core.LifeState;
+    readonly state: core.LifecycleState;
     /** Whether the sender's registry entries come from its own working watches on the store. */
     readonly isWatching?: boolean;
     /**
@@ -471,7 +471,7 @@
     /** The holder among the live instances of a data centre, or among all live instances if the data centre has none. */
     abstract tryGetHolderIn(dataCentre: core.DataCentre, assignment: string): core.InstanceId | undefined;
     /** Whether the instance is known to have been removed (not listed and silent), as opposed to being slow. */
-    abstract isGone(instance: core.InstanceId): boolean;
+    abstract isRemoved(instance: core.InstanceId): boolean;
     /** Calls `listener` when the set of live instances changes. The returned function unsubscribes it. */
     abstract onChange(listener: () => void): () => void;
 }
--- a/packages/release/src/keyValueNoteCache.ts
+++ b/packages/release/src/keyValueNoteCache.ts
@@ -48,7 +48,7 @@
  * read. A note whose generation is not higher is ignored, so that a stale read or a slow peer never reverts an instance
  * to an older note.
  */
-export class KeyValueNoteKeeper extends services.NoteKeeper {
+export class KeyValueNoteCache extends services.NoteCache {
     private note: core.NoteInForce | undefined;
     private confirmedAt: core.MonotonicMilliseconds | undefined;
     private wasConfirmed = false;
@@ -68,8 +68,8 @@
      * Starts the cache. Returns once the note was read from the data folder and from the key-value service, if the
      * service answers.
      */
-    static async start(options: KeyValueNoteCacheOptions): Promise<KeyValueNoteKeeper> {
-        const cache = new KeyValueNoteKeeper(options);
+    static async start(options: KeyValueNoteCacheOptions): Promise<KeyValueNoteCache> {
+        const cache = new KeyValueNoteCache(options);
         await cache.readFile();
         cache.handleNoteRequests();
         cache.unsubscribeHeartbeats = options.heartbeats.onHeartbeat((from, heartbeat) =>
--- a/packages/release/src/keyValueNotePublisher.ts
+++ b/packages/release/src/keyValueNotePublisher.ts
@@ -259,7 +259,7 @@
 }
 
 function createTooLarge(note: core.NoteInForce): types.PublishOutcome {
-    const place: core.Place = { kind: core.PlaceKind.Request, path: `generation ${note.generation}` };
+    const place: core.FindingPlace = { kind: core.FindingPlaceKind.Request, path: `generation ${note.generation}` };
     const finding = core.createFinding(core.messages.NoteTooLarge, place, backing.MaximumValueBytes);
     return { kind: types.PublishKind.Invalid, findings: [finding] };
 }
--- a/packages/release/src/noteChecker.ts
+++ b/packages/release/src/noteChecker.ts
@@ -16,7 +16,7 @@
     base: core.FleetDescription | undefined,
 ): core.Checked<types.CheckedNote> {
     if (Buffer.byteLength(source) > noteDocument.MaximumSourceBytes) {
-        const place: core.Place = { kind: core.PlaceKind.File, file, line: 1, column: 1 };
+        const place: core.FindingPlace = { kind: core.FindingPlaceKind.File, file, line: 1, column: 1 };
         const limit = noteDocument.MaximumSourceBytes;
         return { ok: false, findings: [core.createFinding(core.messages.NoteTooLarge, place, limit)] };
     }
@@ -66,7 +66,7 @@
 }
 
 function compareByPlace(left: core.Finding, right: core.Finding): number {
-    if (left.place.kind !== core.PlaceKind.File || right.place.kind !== core.PlaceKind.File) {
+    if (left.place.kind !== core.FindingPlaceKind.File || right.place.kind !== core.FindingPlaceKind.File) {
         return 0;
     }
     return left.place.line - right.place.line || left.place.column - right.place.column;
--- a/packages/release/src/noteDocument.ts
+++ b/packages/release/src/noteDocument.ts
@@ -39,7 +39,7 @@
     }
 
     /** Returns the place of the value at `path`, or of its nearest existing parent. */
-    getPlace(path: Path): core.Place {
+    getPlace(path: Path): core.FindingPlace {
         for (let length = path.length; length > 0; length--) {
             const node: unknown = this.document.getIn(path.slice(0, length), true);
             if (yaml.isNode(node) && node.range) {
@@ -69,7 +69,7 @@
         });
     }
 
-    private getKeyPlace(path: Path, key: string): core.Place {
+    private getKeyPlace(path: Path, key: string): core.FindingPlace {
         const node: unknown = path.length === 0 ? this.document.contents : this.document.getIn(path, true);
         if (yaml.isMap(node)) {
             const keyNode = node.items.map(item => item.key).find(item => yaml.isScalar(item) && item.value === key);
@@ -80,9 +80,9 @@
         return this.getPlace(path);
     }
 
-    private createPlace(offset: number): core.Place {
+    private createPlace(offset: number): core.FindingPlace {
         const { line, col } = this.lines.linePos(offset);
-        return { kind: core.PlaceKind.File, file: this.file, line: Math.max(1, line), column: Math.max(1, col) };
+        return { kind: core.FindingPlaceKind.File, file: this.file, line: Math.max(1, line), column: Math.max(1, col) };
     }
 }
 
--- a/packages/release/src/rolloutAudit.ts
+++ b/packages/release/src/rolloutAudit.ts
@@ -8,7 +8,7 @@
 
 export interface AuditOptions {
     readonly membership: protocol.Membership;
-    readonly keeper: services.NoteKeeper;
+    readonly noteCache: services.NoteCache;
     readonly getEngine: (upstream: core.UpstreamDescription) => upstreams.EngineClient;
     readonly keyValue: backing.KeyValueService;
     readonly clock: core.Clock;
@@ -39,11 +39,11 @@
     }
 
     private async run(): Promise<void> {
-        const { clock, keeper, membership } = this.options;
+        const { clock, noteCache: noteCache, membership } = this.options;
         const signal = this.abortController.signal;
         while (!signal.aborted) {
             await clock.sleep(AuditIntervalMilliseconds, signal);
-            const note = keeper.tryGetNote();
+            const note = noteCache.tryGetNote();
             const isHolder = membership.tryGetHolder(AuditAssignment) === membership.getSelf();
             if (note !== undefined && isHolder && note.generation > this.recordedGeneration && !signal.aborted) {
                 await this.audit(note);
--- a/packages/release/src/services.ts
+++ b/packages/release/src/services.ts
@@ -8,7 +8,7 @@
 }
 
 /** Caches the release note in force on this instance. The generation of the cached note never decreases. */
-export abstract class NoteKeeper implements AsyncDisposable {
+export abstract class NoteCache implements AsyncDisposable {
     private usable: UsableFleet | undefined;
 
     abstract tryGetNote(): core.NoteInForce | undefined;
--- a/packages/release/src/upstreamRollout.ts
+++ b/packages/release/src/upstreamRollout.ts
@@ -12,7 +12,7 @@
 
 export interface RolloutOptions {
     readonly membership: protocol.Membership;
-    readonly keeper: services.NoteKeeper;
+    readonly noteCache: services.NoteCache;
     readonly getEngine: (upstream: core.UpstreamDescription) => upstreams.EngineClient;
     readonly keyValue: backing.KeyValueService;
     readonly clock: core.Clock;
@@ -44,12 +44,12 @@
 
     constructor(private readonly options: RolloutOptions) {
         super();
-        const { membership, keeper } = options;
+        const { membership, noteCache: noteCache } = options;
         this.limits = { ...rolloutPlan.DefaultLimits, ...options.limits };
         this.claimant = new rolloutClaimant.RolloutClaimant(options, this.limits);
         this.audit = new rolloutAudit.RolloutAudit(options);
         const refresh = (): void => this.refreshAssignments();
-        this.unsubscribeCallbacks = [membership.onChange(refresh), keeper.onNote(refresh)];
+        this.unsubscribeCallbacks = [membership.onChange(refresh), noteCache.onNote(refresh)];
         refresh();
     }
 
@@ -89,8 +89,8 @@
     }
 
     private getCoordinatedEngines(): readonly core.UpstreamDescription[] {
-        const { keeper, membership } = this.options;
-        const engines = (keeper.tryGetNote()?.fleet.upstreams ?? []).filter(
+        const { noteCache: noteCache, membership } = this.options;
+        const engines = (noteCache.tryGetNote()?.fleet.upstreams ?? []).filter(
             upstream => upstream.kind === core.UpstreamKind.Engine,
         );
         return engines.filter(upstream => {
@@ -115,7 +115,7 @@
     private async runAssignment(assignment: upstreamAssignment.UpstreamAssignment): Promise<void> {
         const signal = assignment.abortController.signal;
         while (!signal.aborted) {
-            const note = this.options.keeper.tryGetNote();
+            const note = this.options.noteCache.tryGetNote();
             const upstream = note?.fleet.upstreams.find(candidate => candidate.id === assignment.upstream);
             const wakeSignal = this.wakeController.signal;
             const delayMilliseconds =
@@ -139,7 +139,7 @@
     ): Promise<number> {
         const target = rolloutPlan.getTarget(note.fleet, upstream);
         this.updateTarget(assignment, rolloutPlan.formatTarget(target));
-        if (assignment.claim === undefined && this.options.keeper.isChanging(assignment.upstream)) {
+        if (assignment.claim === undefined && this.options.noteCache.isChanging(assignment.upstream)) {
             await this.claimant.takeOver(assignment, note);
         }
         const engine = this.options.getEngine(upstream);
--- a/packages/standins/src/keyValueStandin.ts
+++ b/packages/standins/src/keyValueStandin.ts
@@ -122,7 +122,7 @@
         const wasCut = this.faults.isWatchCut;
         Object.assign(this.faults, change);
         if (wasCut && !this.faults.isWatchCut) {
-            this.service.healWatches();
+            this.service.resumeWatches();
         }
         if (this.faults.isDown) {
             this.breakWatches();
--- a/packages/standins/src/memoryKeyValueService.ts
+++ b/packages/standins/src/memoryKeyValueService.ts
@@ -149,7 +149,7 @@
     }
 
     override async *watch(request: backing.WatchRequest): AsyncIterable<backing.WatchEvent> {
-        await request.admit?.();
+        await request.beforeConnect?.();
         this.count(backing.CallPurpose.Watch);
         const queue: backing.WatchEvent[] = [];
         let wake: () => void = () => undefined;
@@ -202,7 +202,7 @@
     }
 
     /** Switches `isWatchCut` off and delivers a gap to each watch that missed a change. */
-    healWatches(): void {
+    resumeWatches(): void {
         this.faults.isWatchCut = false;
         for (const watcher of this.watchers) {
             if (watcher.hasMissed) {
--- a/packages/standins/src/memoryMembership.ts
+++ b/packages/standins/src/memoryMembership.ts
@@ -6,7 +6,7 @@
  * holder.
  */
 export class MemoryMembership extends protocol.Membership {
-    readonly gone = new Set<core.InstanceId>();
+    readonly removed = new Set<core.InstanceId>();
     private readonly listeners = new Set<() => void>();
     private live: readonly core.InstanceDescription[];
 
@@ -40,8 +40,8 @@
         return this.tryGetHolder(assignment);
     }
 
-    override isGone(instance: core.InstanceId): boolean {
-        return this.gone.has(instance);
+    override isRemoved(instance: core.InstanceId): boolean {
+        return this.removed.has(instance);
     }
 
     override onChange(listener: () => void): () => void {
@@ -52,5 +52,5 @@
 
 function createDescription(id: core.InstanceId): core.InstanceDescription {
     const url = `http://${id}.invalid`;
-    return { id, dataCentre: "test", state: core.LifeState.Live, callerUrl: url, peerUrl: url, operatorUrl: url };
+    return { id, dataCentre: "test", state: core.LifecycleState.Live, callerUrl: url, peerUrl: url, operatorUrl: url };
 }
