--- a/packages/standins/src/registryMember.ts
+++ b/packages/standins/src/registryMember.ts
@@ -7,7 +7,7 @@
 const HeartbeatMilliseconds = 1_000;
 
 /** Environment shared by the members of a simulated fleet. */
-export interface RegistryWorld {
+export interface RegistrySimulation {
     readonly clock: core.Clock;
     readonly metadata: memoryMetadataStore.MemoryMetadata;
     readonly hub: memoryPeers.MemoryPeerHub;
@@ -30,7 +30,7 @@
     readonly registry: gateway.FleetRegistry;
     readonly faults: memoryMetadataStore.MetadataFaults;
     /** Sends a heartbeat to a peer. */
-    readonly beat: (peer: core.InstanceId) => void;
+    readonly sendHeartbeat: (peer: core.InstanceId) => void;
     /** Stops like a killed process, without ending its lease, which then expires. */
     readonly kill: () => void;
     /** Stops like an instance in a planned stop. */
@@ -38,24 +38,24 @@
 }
 
 /** A log that discards everything. */
-export class SilentLog extends gateway.GatewayLog {
+export class NullLog extends gateway.GatewayLog {
     override finished(): void {}
     override refused(): void {}
     override attemptEnded(): void {}
-    override note(): void {}
+    override recordEvent(): void {}
 }
 
 export function startRegistryMember(
     id: core.InstanceId,
     dataCentre: core.DataCentre,
-    simulation: RegistryWorld,
+    simulation: RegistrySimulation,
 ): RegistryMember {
     const { clock, metadata, hub, codec, random, members } = simulation;
-    const log = new SilentLog();
+    const log = new NullLog();
     const client = metadata.createClient();
     const directory = new gateway.MemberDirectory({ id, dataCentre, peerAddress: "127.0.0.1:1" });
     const view = new gateway.FleetView(codec, () => undefined);
-    const storeReturn = new gateway.StoreReturn(view, clock, log);
+    const storeReturn = new gateway.StoreRecovery(view, clock, log);
     const store = new gateway.CountedStore(
         client,
         () => clock.now(),
@@ -80,7 +80,7 @@
         onFleetEntries: () => undefined,
         random,
     });
-    registry.watchers.forEach(watcher => storeReturn.follow(watcher));
+    registry.watchers.forEach(watcher => storeReturn.addWatcher(watcher));
     registration.start(registry.whenListed);
     void registry.run();
     const stopController = new AbortController();
@@ -97,7 +97,7 @@
         view,
         registry,
         faults: client.faults,
-        beat: peer => void network.notify(peer, createHeartbeat(member, clock.now())),
+        sendHeartbeat: peer => void network.notify(peer, createHeartbeat(member, clock.now())),
         kill: () => {
             client.faults.isDown = true;
             shutDown();
@@ -118,22 +118,22 @@
         kind: protocol.MessageKind.Heartbeat,
         ...gateway.describeRegistry(view, registry.isWatching(), now),
         logicalTime: 0,
-        state: core.LifeState.Live,
+        state: core.LifecycleState.Live,
     };
 }
 
 /** Sends a member's heartbeats on all its connections at the same time, whichever end opened them. */
-async function runHeartbeats(member: RegistryMember, simulation: RegistryWorld, signal: AbortSignal): Promise<void> {
+async function runHeartbeats(member: RegistryMember, simulation: RegistrySimulation, signal: AbortSignal): Promise<void> {
     const { clock, random, neighbours } = simulation;
     await clock.sleep(random() * HeartbeatMilliseconds, signal);
     while (!signal.aborted) {
-        const watchers = member.registry.duty.getWatchers();
+        const watchers = member.registry.assignment.getWatchers();
         const chosen = new Set(gateway.chooseNeighbours(member.directory, watchers));
         neighbours.set(member.id, chosen);
-        chosen.forEach(peer => member.beat(peer));
+        chosen.forEach(peer => member.sendHeartbeat(peer));
         for (const [peer, peerNeighbours] of neighbours) {
             if (peerNeighbours.has(member.id) && !chosen.has(peer)) {
-                member.beat(peer);
+                member.sendHeartbeat(peer);
             }
         }
         await clock.sleep(HeartbeatMilliseconds, signal);
--- a/packages/tools/src/linkedFleet.ts
+++ b/packages/tools/src/linkedFleet.ts
@@ -17,7 +17,7 @@
 interface Instance {
     readonly network: protocol.WebSocketPeerNetwork;
     readonly membership: entry.membership.FleetMembership;
-    readonly keeper: release.KeyValueNoteKeeper;
+    readonly keeper: release.KeyValueNoteCache;
 }
 
 /** The cost of an instance of an idle fleet, averaged over the fleet. */
@@ -31,7 +31,7 @@
 /** Parts that are created after the network, which must listen first so that its port is known. Its callbacks use them. */
 interface DeferredParts {
     membership?: entry.membership.FleetMembership;
-    keeper?: release.KeyValueNoteKeeper;
+    keeper?: release.KeyValueNoteCache;
 }
 
 /** The instance list that all instances of a measurement read. It is always up to date. */
@@ -98,7 +98,7 @@
         await inForce;
         const milliseconds = performance.now() - startedAt;
         this.keyValue.faults.isDown = false;
-        this.keyValue.healWatches();
+        this.keyValue.resumeWatches();
         if (lateInstance !== undefined) {
             this.list.instances.pop();
             await stopInstance(lateInstance);
@@ -135,13 +135,13 @@
                 kind: protocol.MessageKind.Heartbeat,
                 generation: deferredParts.keeper?.tryGetNote()?.generation ?? 0,
                 logicalTime: instanceTelemetry.timeLine.getLogicalTime(),
-                state: core.LifeState.Live,
+                state: core.LifecycleState.Live,
             }),
         });
         const self: core.InstanceDescription = {
             id,
             dataCentre: "loopback",
-            state: core.LifeState.Live,
+            state: core.LifecycleState.Live,
             callerUrl: "",
             peerUrl: `ws://127.0.0.1:${network.getPort()}`,
             operatorUrl: "",
@@ -154,7 +154,7 @@
         });
         deferredParts.membership = membership;
         membership.attach(network);
-        const keeper = await release.KeyValueNoteKeeper.start({
+        const keeper = await release.KeyValueNoteCache.start({
             keyValue: this.keyValue,
             network,
             heartbeats: membership,
@@ -173,7 +173,7 @@
     await instance.network[Symbol.asyncDispose]();
 }
 
-async function waitForGeneration(keeper: release.NoteKeeper, generation: core.Generation): Promise<void> {
+async function waitForGeneration(keeper: release.NoteCache, generation: core.Generation): Promise<void> {
     if ((keeper.tryGetNote()?.generation ?? 0) >= generation) {
         return;
     }
--- a/packages/tools/src/measuredFleet.ts
+++ b/packages/tools/src/measuredFleet.ts
@@ -161,7 +161,7 @@
     override getLiveInstances(): readonly core.InstanceDescription[] {
         const url = "http://127.0.0.1:0";
         const urls = { callerUrl: url, peerUrl: url, operatorUrl: url };
-        return this.getLiveNames().map(id => ({ id, dataCentre: "a", state: core.LifeState.Live, ...urls }));
+        return this.getLiveNames().map(id => ({ id, dataCentre: "a", state: core.LifecycleState.Live, ...urls }));
     }
 
     override tryGetHolder(assignment: string): core.InstanceId | undefined {
@@ -181,7 +181,7 @@
         return this.tryGetHolder(`${dataCentre}/${assignment}`);
     }
 
-    override isGone(instance: core.InstanceId): boolean {
+    override isRemoved(instance: core.InstanceId): boolean {
         return this.fleet.removedInstances.has(instance);
     }
 
--- a/packages/tools/src/slopes/rolloutSlopes.ts
+++ b/packages/tools/src/slopes/rolloutSlopes.ts
@@ -114,7 +114,7 @@
         );
         this.rollout = new release.UpstreamRollout({
             membership: parts.membership,
-            keeper: new FixedNoteKeeper(note),
+            noteCache: new FixedNoteKeeper(note),
             getEngine: upstream => core.Debug.checkDefined(this.engines.get(upstream.id), "an engine"),
             keyValue: parts.keyValue,
             clock: parts.clock,
@@ -154,7 +154,7 @@
 }
 
 /** Always returns the same note and never reports a change. */
-class FixedNoteKeeper extends release.NoteKeeper {
+class FixedNoteKeeper extends release.NoteCache {
     constructor(private readonly note: core.NoteInForce) {
         super();
     }
--- a/packages/work/src/index.ts
+++ b/packages/work/src/index.ts
@@ -2,7 +2,7 @@
 export * from "./types.js";
 export * from "./services.js";
 export * from "./ledger.js";
-export { getLedgerDuty } from "./ledgerRouter.js";
+export { getLedgerAssignment as getLedgerAssignment } from "./ledgerRouter.js";
 export { createJobStore, KeyValueJobStore, type KeyValueJobStoreOptions } from "./jobStore.js";
 export * from "./jobRunner.js";
 export * from "./commitPacer.js";
--- a/packages/work/src/jobRunner.ts
+++ b/packages/work/src/jobRunner.ts
@@ -267,7 +267,7 @@
         const isAbandoned = (claim: jobProgress.Claim): boolean =>
             claim.process !== this.processId &&
             (claim.instance === instance ||
-                membership.isGone(claim.instance) ||
+                membership.isRemoved(claim.instance) ||
                 now - claim.renewedAt > ClaimExpiryMilliseconds);
         return { instance, process: this.processId, now, createId: this.createId, isAbandoned };
     }
--- a/packages/work/src/ledger.ts
+++ b/packages/work/src/ledger.ts
@@ -80,7 +80,7 @@
         const { createId = crypto.randomUUID, shards = DefaultLedgerShards, membership } = options;
         this.processId = createId();
         const commitsPerSecond = (options.commitsPerSecond ?? DefaultLedgerCommitsPerSecond) / shards;
-        const isRemoved = (instance: core.InstanceId): boolean => membership.isGone(instance);
+        const isRemoved = (instance: core.InstanceId): boolean => membership.isRemoved(instance);
         const shared = { ...options, commitsPerSecond, createId, isRemoved };
         this.shards = [...Array(shards).keys()].map(shard => new ledgerShard.LedgerShard({ ...shared, shard }));
         this.router = new ledgerRouter.LedgerRouter({
@@ -357,7 +357,7 @@
     }
 
     private async isNoLongerRunning(record: types.CallRecord): Promise<boolean> {
-        if (record.isOrphaned === true || this.options.membership.isGone(record.instance)) {
+        if (record.isOrphaned === true || this.options.membership.isRemoved(record.instance)) {
             return true;
         }
         return (await this.router.queryRunState(record)) !== requests.RunState.Running;
--- a/packages/work/src/ledgerRouter.ts
+++ b/packages/work/src/ledgerRouter.ts
@@ -66,13 +66,13 @@
     }
 
     holdsShard(shard: number): boolean {
-        return this.options.membership.tryGetHolder(getLedgerDuty(shard)) === this.options.instance;
+        return this.options.membership.tryGetHolder(getLedgerAssignment(shard)) === this.options.instance;
     }
 
     private getHolders(shard: number): ReadonlySet<core.InstanceId> {
-        const assignments = [getLedgerDuty(shard)];
+        const assignments = [getLedgerAssignment(shard)];
         for (let standby = 1; standby <= MaximumStandbyHolders; standby++) {
-            assignments.push(`${getLedgerDuty(shard)}/standby/${standby}`);
+            assignments.push(`${getLedgerAssignment(shard)}/standby/${standby}`);
         }
         const holders = assignments.map(assignment => this.options.membership.tryGetHolder(assignment));
         return new Set(holders.filter(holder => holder !== undefined));
@@ -124,7 +124,7 @@
 }
 
 /** Returns the name of the assignment to hold a shard, for `Membership.tryGetHolder`. */
-export function getLedgerDuty(shard: number): string {
+export function getLedgerAssignment(shard: number): string {
     return `ledger/${shard}`;
 }
 
