--- a/packages/backing/src/leaseKeeper.ts
+++ b/packages/backing/src/leaseKeeper.ts
@@ -29,7 +29,7 @@
 }
 
 /**
- * Keeps one lease renewed, and requests a new one when it is lost. Its duration is measured on the monotonic clock from
+ * Keeps one lease renewed, and requests a new one when it is lost. Its duration is counted by the monotonic clock from
  * the moment when a call was *sent*; the service measures from the moment when it received the call, so the holder always
  * stops first. After the process was paused, the timer may fire late, so `tryGetLease` checks the clock itself. Writes
  * under the lease are still fenced by their revision; the lease only avoids wasted work.
--- a/packages/decisions/src/batchGate.ts
+++ b/packages/decisions/src/batchGate.ts
@@ -43,8 +43,8 @@
 /** Window in which an increase of online work is measured: two steps of an engine, one message and one poll. */
 const ReactionMilliseconds = 250;
 /**
- * Half-life of the remembered increase. Bursts recur on the hour and on the quarter hour, when lessons and roll calls
- * start.
+ * Half-life of the remembered increase. Demand peaks at fixed times, such as the hour and the quarter hour, so an
+ * increase is likely to recur within this time.
  */
 const ReserveHalfLifeMilliseconds = 600_000;
 /** Half-life of the latest peak of online work; see `getStartLimit`. */
